--- a/trackfront_bench/src/baselines.rs
+++ b/trackfront_bench/src/baselines.rs
@@ -6,28 +6,28 @@
 
 use trackfront_core::engine_load::Sent;
 use trackfront_core::fleet::{EngineEntry, Fleet};
-use trackfront_core::ids::{BackendId, ZoneName};
+use trackfront_core::ids::{BackendId, HallName};
 use trackfront_core::routing::{ChooseEngine, Pick, Refusal, RouteQuery, Router, RouterOptions};
 
 /// Our router without refusals.
-pub fn no_admission(fleet: Arc<Fleet>, hall: &ZoneName) -> Box<dyn ChooseEngine> {
+pub fn no_admission(fleet: Arc<Fleet>, hall: &HallName) -> Box<dyn ChooseEngine> {
     let options = RouterOptions { admission: false, ..RouterOptions::default() };
     Box::new(Router::new(fleet, hall.clone(), options))
 }
 
 /// Our router without the memory of prefixes.
-pub fn no_prefix(fleet: Arc<Fleet>, hall: &ZoneName) -> Box<dyn ChooseEngine> {
+pub fn no_prefix(fleet: Arc<Fleet>, hall: &HallName) -> Box<dyn ChooseEngine> {
     let options = RouterOptions { prefix: false, ..RouterOptions::default() };
     Box::new(Router::new(fleet, hall.clone(), options))
 }
 
 /// Each engine in turn.
-pub fn round_robin(fleet: Arc<Fleet>, _: &ZoneName) -> Box<dyn ChooseEngine> {
+pub fn round_robin(fleet: Arc<Fleet>, _: &HallName) -> Box<dyn ChooseEngine> {
     Box::new(RoundRobin { fleet, next: AtomicUsize::new(0) })
 }
 
 /// The engine with the fewest requests in progress.
-pub fn least_in_flight(fleet: Arc<Fleet>, _: &ZoneName) -> Box<dyn ChooseEngine> {
+pub fn least_in_flight(fleet: Arc<Fleet>, _: &HallName) -> Box<dyn ChooseEngine> {
     Box::new(LeastInFlight { fleet })
 }
 
--- a/trackfront_bench/src/route.rs
+++ b/trackfront_bench/src/route.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use trackfront_core::engine_load::{Ended, Sent};
 use trackfront_core::fleet::{EngineDigest, Fleet};
-use trackfront_core::ids::{BackendId, ItemKey, ZoneName};
+use trackfront_core::ids::{BackendId, HallName, ItemKey};
 use trackfront_core::prefix::block_hashes;
 use trackfront_core::routing::{ChooseEngine, RouteQuery, Router, RouterOptions};
 use trackfront_core::units::Moment;
@@ -125,7 +125,7 @@
             ready[rng.random_range(0..engines)].push(item.clone());
         }
     }
-    let ids: Vec<(BackendId, ZoneName)> = (0..engines)
+    let ids: Vec<(BackendId, HallName)> = (0..engines)
         .map(|engine| {
             let hall = format!("hall-{}", engine % 9);
             (format!("engine-{engine}").as_str().into(), hall.as_str().into())
--- a/trackfront_core/src/fleet.rs
+++ b/trackfront_core/src/fleet.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::engine_load::{Ended, EngineLoad, Estimate, Sent};
-use crate::ids::{BackendId, ItemKey, ZoneName};
+use crate::ids::{BackendId, HallName, ItemKey};
 use crate::ports::{LoadReport, ReportedState};
 use crate::units::Moment;
 
@@ -74,7 +74,7 @@
     /// The engine.
     pub id: BackendId,
     /// The engine's hall.
-    pub hall: ZoneName,
+    pub hall: HallName,
     /// The items under which the entry stands in the index. Held while the index is changed;
     /// the order of locks is this one, then an index shard, then `load`.
     indexed: Mutex<Vec<ItemKey>>,
@@ -82,7 +82,7 @@
 }
 
 impl EngineEntry {
-    fn new(id: BackendId, hall: ZoneName) -> Self {
+    fn new(id: BackendId, hall: HallName) -> Self {
         Self { id, hall, indexed: Mutex::default(), load: Mutex::default() }
     }
 
@@ -188,9 +188,9 @@
 
 impl Fleet {
     /// Sets which engines there are. Engines that stay keep their figures.
-    pub fn set_engines(&self, wanted: &[(BackendId, ZoneName)]) {
+    pub fn set_engines(&self, wanted: &[(BackendId, HallName)]) {
         let mut engines = self.engines.lock();
-        let wanted: HashMap<&BackendId, &ZoneName> =
+        let wanted: HashMap<&BackendId, &HallName> =
             wanted.iter().map(|(id, hall)| (id, hall)).collect();
         engines.retain(|id, entry| {
             let stays = wanted.get(id).is_some_and(|hall| **hall == entry.hall);
--- a/trackfront_core/src/ids.rs
+++ b/trackfront_core/src/ids.rs
@@ -52,7 +52,7 @@
 }
 name_type! {
     /// The name of a hall (zone).
-    ZoneName
+    HallName
 }
 name_type! {
     /// The key under which a server's entries stand, whichever run of it wrote them.
--- a/trackfront_core/src/members.rs
+++ b/trackfront_core/src/members.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::ids::{Fence, NodeId, Revision, ShardId, ZoneName};
+use crate::ids::{Fence, HallName, NodeId, Revision, ShardId};
 use crate::ports::peers::{ClaimsKept, Heartbeat, PeerState};
 use crate::ports::{ListedBox, ListedRole, ListedState};
 use crate::units::Moment;
@@ -20,7 +20,7 @@
     /// Its identity, once it was heard.
     pub id: Option<NodeId>,
     /// Its hall.
-    pub hall: ZoneName,
+    pub hall: HallName,
     /// Its state, by its own word; leaving is never taken back.
     pub state: PeerState,
     /// The revision in force there.
@@ -36,7 +36,7 @@
 }
 
 impl Member {
-    fn new(hall: ZoneName, known: Moment) -> Self {
+    fn new(hall: HallName, known: Moment) -> Self {
         Self {
             id: None,
             hall,
--- a/trackfront_core/src/ports/box_list.rs
+++ b/trackfront_core/src/ports/box_list.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::ids::ZoneName;
+use crate::ids::HallName;
 
 /// What the platform says of a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
     /// What runs on it.
     pub role: ListedRole,
     /// The hall of the box.
-    pub hall: ZoneName,
+    pub hall: HallName,
     /// What the platform says of it.
     pub state: ListedState,
 }
--- a/trackfront_core/src/ports/peers.rs
+++ b/trackfront_core/src/ports/peers.rs
@@ -8,7 +8,7 @@
 use crate::claims::{Claim, ClaimKey, ClaimReply, RecordedAnswer, RequestHash};
 use crate::demand::ItemDemand;
 use crate::fleet::EngineDigest;
-use crate::ids::{Fence, NodeId, Revision, ShardId, ZoneName};
+use crate::ids::{Fence, HallName, NodeId, Revision, ShardId};
 use crate::quota::{Answer, Ask, BoxId};
 
 /// What a box says of its own life.
@@ -40,7 +40,7 @@
     /// The sender's peer address.
     pub address: String,
     /// The sender's hall.
-    pub hall: ZoneName,
+    pub hall: HallName,
     /// The sender's state.
     pub state: PeerState,
     /// The revision in force at the sender.
--- a/trackfront_core/src/routing.rs
+++ b/trackfront_core/src/routing.rs
@@ -5,7 +5,7 @@
 
 use crate::engine_load::{Estimate, Sent};
 use crate::fleet::{EngineEntry, Fleet};
-use crate::ids::{BackendId, ItemKey, ZoneName};
+use crate::ids::{BackendId, HallName, ItemKey};
 use crate::prefix::{BLOCK_BYTES, PrefixMemory};
 use crate::units::Moment;
 
@@ -88,7 +88,7 @@
 /// answer in time.
 pub struct Router {
     fleet: Arc<Fleet>,
-    hall: ZoneName,
+    hall: HallName,
     prefixes: PrefixMemory,
     options: RouterOptions,
 }
@@ -118,7 +118,7 @@
 
 impl Router {
     /// Makes a router for a box in `hall`.
-    pub fn new(fleet: Arc<Fleet>, hall: ZoneName, options: RouterOptions) -> Self {
+    pub fn new(fleet: Arc<Fleet>, hall: HallName, options: RouterOptions) -> Self {
         Self { fleet, hall, prefixes: PrefixMemory::default(), options }
     }
 
--- a/trackfront_core/src/serving/choose.rs
+++ b/trackfront_core/src/serving/choose.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::ids::{BackendId, ZoneName};
+use crate::ids::{BackendId, HallName};
 use crate::serving::affinity::{Prefix, PromptMemory};
 use crate::serving::cold::Coldness;
 use crate::serving::directory::KnownServer;
@@ -55,7 +55,7 @@
     /// Servers that it was sent to already.
     pub tried: &'a [BackendId],
     /// The node's zone.
-    pub zone: &'a ZoneName,
+    pub zone: &'a HallName,
     /// Where it may be served.
     pub places: Places<'a>,
     /// How long after the node learned that it drains a server may still be sent what no other can answer.
--- a/trackfront_core/src/serving/directory/entry.rs
+++ b/trackfront_core/src/serving/directory/entry.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{AdapterName, BackendId, ModelName, ServerKey, ServiceName, ZoneName};
+use crate::ids::{AdapterName, BackendId, HallName, ModelName, ServerKey, ServiceName};
 use crate::units::Moment;
 
 /// What a server does about new requests, by its own word.
@@ -47,7 +47,7 @@
     /// The address, IP and port.
     pub address: String,
     /// The zone.
-    pub zone: ZoneName,
+    pub zone: HallName,
     /// How many requests it works on at once.
     pub slots: u32,
     /// Whether it takes requests.
--- a/trackfront_core/src/serving/places.rs
+++ b/trackfront_core/src/serving/places.rs
@@ -8,14 +8,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{RegionName, ZoneName};
+use crate::ids::{HallName, RegionName};
 use crate::units::Moment;
 
 /// What the operator last said of a hall.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallWord {
     /// The hall.
-    pub hall: ZoneName,
+    pub hall: HallName,
     /// The version of the row, or of its removal.
     pub version: u64,
     /// Whether its servers are to get nothing.
@@ -25,7 +25,7 @@
 /// The halls that the operator spoke of.
 #[derive(Debug, Default)]
 pub struct Evacuations {
-    halls: BTreeMap<ZoneName, KnownHall>,
+    halls: BTreeMap<HallName, KnownHall>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -54,17 +54,17 @@
     /// Returns the words that follow from a listing of all rows at `version`: those rows, and that halls which are
     /// in none of them are used again.
     pub fn of_listing(&self, mut rows: Vec<HallWord>, version: u64) -> Vec<HallWord> {
-        let listed: BTreeSet<ZoneName> = rows.iter().map(|word| word.hall.clone()).collect();
+        let listed: BTreeSet<HallName> = rows.iter().map(|word| word.hall.clone()).collect();
         let ended = self.halls.iter().filter(|(hall, known)| {
             known.is_evacuated && known.version <= version && !listed.contains(*hall)
         });
-        let word = |hall: &ZoneName| HallWord { hall: hall.clone(), version, is_evacuated: false };
+        let word = |hall: &HallName| HallWord { hall: hall.clone(), version, is_evacuated: false };
         rows.extend(ended.map(|(hall, _)| word(hall)));
         rows
     }
 
     /// Returns whether the servers of a hall are to get nothing.
-    pub fn is_evacuated(&self, hall: &ZoneName) -> bool {
+    pub fn is_evacuated(&self, hall: &HallName) -> bool {
         self.halls.get(hall).is_some_and(|known| known.is_evacuated)
     }
 
@@ -74,14 +74,14 @@
     }
 
     /// Returns when this box learned that a hall is used again.
-    pub fn returned_at(&self, hall: &ZoneName) -> Option<Moment> {
+    pub fn returned_at(&self, hall: &HallName) -> Option<Moment> {
         let known = self.halls.get(hall)?;
         (!known.is_evacuated).then_some(known.learned)
     }
 
     /// Returns all that is known, for another box.
     pub fn words(&self) -> Vec<HallWord> {
-        let word = |(hall, known): (&ZoneName, &KnownHall)| HallWord {
+        let word = |(hall, known): (&HallName, &KnownHall)| HallWord {
             hall: hall.clone(),
             version: known.version,
             is_evacuated: known.is_evacuated,
@@ -96,7 +96,7 @@
     /// The halls that are emptied.
     pub evacuations: &'a Evacuations,
     /// The region of each hall.
-    pub regions: &'a BTreeMap<ZoneName, RegionName>,
+    pub regions: &'a BTreeMap<HallName, RegionName>,
     /// The regions that its route and its account are bound to, if they are; both hold.
     pub bounds: [Option<&'a BTreeSet<RegionName>>; 2],
 }
@@ -104,7 +104,7 @@
 impl Places<'_> {
     /// Returns whether the request may be sent to the servers of a hall. Where the hall's region is not known, only
     /// what is bound to none may.
-    pub fn allow(&self, hall: &ZoneName) -> bool {
+    pub fn allow(&self, hall: &HallName) -> bool {
         let region = self.regions.get(hall);
         let is_inside = |bound: &&BTreeSet<RegionName>| region.is_some_and(|at| bound.contains(at));
         !self.evacuations.is_evacuated(hall) && self.bounds.iter().flatten().all(is_inside)
--- a/trackfront_core/src/serving/spread.rs
+++ b/trackfront_core/src/serving/spread.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-use crate::ids::ZoneName;
+use crate::ids::HallName;
 use crate::serving::directory::KnownServer;
 
 /// How many servers are compared.
@@ -18,7 +18,7 @@
 /// Returns a few of the servers that are `usable`, of those in the box's own hall if there are any.
 pub fn some_of<'a>(
     servers: impl Iterator<Item = &'a Arc<KnownServer>>,
-    hall: &ZoneName,
+    hall: &HallName,
     usable: impl Fn(&KnownServer) -> bool,
     rng: &mut impl Rng,
 ) -> Vec<&'a Arc<KnownServer>> {
--- a/trackfront_core/src/tree/build.rs
+++ b/trackfront_core/src/tree/build.rs
@@ -7,7 +7,7 @@
 use toml::Spanned;
 
 use crate::accounts::{AccountLimit, LimitUnit};
-use crate::ids::{AdapterName, BackendId, ModelName, RegionName, ServiceName, ZoneName};
+use crate::ids::{AdapterName, BackendId, HallName, ModelName, RegionName, ServiceName};
 use crate::units::Mib;
 
 use super::error::{TreeError, TreeErrorKind, TreeErrors, line_of};
@@ -109,7 +109,7 @@
     fn region(&mut self, name: &str, inherited: &Policy) -> Option<Region> {
         let region: Read<RegionFile> = self.read(&format!("{name}/region.toml"))?;
         let policy = inherited.inherit(&region.keys.policy, &region.path, &region.text);
-        let halls: Vec<ZoneName> =
+        let halls: Vec<HallName> =
             region.keys.halls.iter().map(|hall| hall.get_ref().as_str().into()).collect();
         let services = self
             .folders(&format!("{name}/"))
@@ -122,7 +122,7 @@
         Some(Region { halls, services })
     }
 
-    fn service(&mut self, folder: &str, inherited: &Policy, halls: &[ZoneName]) -> Option<Service> {
+    fn service(&mut self, folder: &str, inherited: &Policy, halls: &[HallName]) -> Option<Service> {
         let service: Read<ServiceFile> = self.read(&format!("{folder}/service.toml"))?;
         let policy = inherited.inherit(&service.keys.policy, &service.path, &service.text);
         let mut backends = BTreeMap::new();
@@ -262,7 +262,7 @@
         &mut self,
         service: &Read<ServiceFile>,
         table: &Spanned<BackendTable>,
-        halls: &[ZoneName],
+        halls: &[HallName],
     ) {
         let backend = table.get_ref();
         if backend.address.parse::<std::net::SocketAddr>().is_err() {
--- a/trackfront_core/src/tree/mod.rs
+++ b/trackfront_core/src/tree/mod.rs
@@ -27,8 +27,8 @@
 
 use crate::accounts::{AccountLimit, KeyHash};
 use crate::ids::{
-    AccountName, AdapterName, BackendId, ItemKey, ModelName, RegionName, ServiceName, ShardId,
-    Version, ZoneName,
+    AccountName, AdapterName, BackendId, HallName, ItemKey, ModelName, RegionName, ServiceName,
+    ShardId, Version,
 };
 use crate::placement::{Bundle, SizedItem};
 use crate::units::Mib;
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug)]
 pub struct Region {
     /// The halls of the region.
-    pub halls: Vec<ZoneName>,
+    pub halls: Vec<HallName>,
     /// The services of the region.
     pub services: BTreeMap<ServiceName, Service>,
 }
@@ -113,7 +113,7 @@
     /// The IP address and port.
     pub address: String,
     /// The hall.
-    pub hall: ZoneName,
+    pub hall: HallName,
     /// The memory of each accelerator; empty for a plain service.
     pub accelerators: Vec<Mib>,
     /// Whether the engine checks fencing tokens.
--- a/trackfront_core/tests/serving/choice.rs
+++ b/trackfront_core/tests/serving/choice.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use trackfront_core::ids::{BackendId, RegionName, ZoneName};
+use trackfront_core::ids::{BackendId, HallName, RegionName};
 use trackfront_core::serving::affinity::{PromptMemory, prefixes};
 use trackfront_core::serving::choose::{
     Choice, NoChoice, Query, ServerView, Shut, ShutCause, choose,
@@ -61,7 +61,7 @@
     notes: Notes,
     tried: Vec<BackendId>,
     evacuations: Evacuations,
-    regions: BTreeMap<ZoneName, RegionName>,
+    regions: BTreeMap<HallName, RegionName>,
     bounds: [Option<BTreeSet<RegionName>>; 2],
     now: u64,
 }
--- a/trackfront_standin/src/boxes.rs
+++ b/trackfront_standin/src/boxes.rs
@@ -6,7 +6,7 @@
 use anyhow::Context;
 use tokio::time::Instant;
 use trackfront_adapters::key::DeploymentKey;
-use trackfront_core::ids::{RegionName, ZoneName};
+use trackfront_core::ids::{HallName, RegionName};
 use trackfront_core::ports::{ListedBox, ListedRole, ListedState};
 use trackfront_core::tree::Tree;
 use trackfrontd::daemon::Daemon;
@@ -29,7 +29,7 @@
 pub fn settings(
     platform: &Platform,
     region: &RegionName,
-    hall: &ZoneName,
+    hall: &HallName,
 ) -> anyhow::Result<Settings> {
     let any: SocketAddr = "127.0.0.1:0".parse().context("the address is valid")?;
     Ok(Settings {
--- a/trackfront_standin/src/memory/mod.rs
+++ b/trackfront_standin/src/memory/mod.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 use trackfront_adapters::metrics::Metrics;
 use trackfront_adapters::wire::operator::{ApplyAnswer, ApplyRequest};
-use trackfront_core::ids::{BackendId, Revision, TxnId, ZoneName};
+use trackfront_core::ids::{BackendId, HallName, Revision, TxnId};
 use trackfront_core::ports::{ListedBox, ListedRole, ListedState};
 use trackfront_core::tree::{ServiceKind, Tree, TreeFiles, build};
 use trackfrontd::node::Node;
@@ -157,7 +157,7 @@
             seed: spec.seed,
             tree,
         };
-        let halls: Vec<ZoneName> =
+        let halls: Vec<HallName> =
             deployment.tree.regions.values().flat_map(|region| region.halls.clone()).collect();
         for hall in &halls {
             for _ in 0..spec.boxes_per_hall {
@@ -178,7 +178,7 @@
     }
 
     /// Starts another entry box in `hall` and returns its peer address.
-    pub fn start_box(&mut self, hall: &ZoneName) -> anyhow::Result<String> {
+    pub fn start_box(&mut self, hall: &HallName) -> anyhow::Result<String> {
         let region = self
             .tree
             .regions
--- a/trackfront_standin/src/memory/net.rs
+++ b/trackfront_standin/src/memory/net.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use parking_lot::Mutex;
-use trackfront_core::ids::ZoneName;
+use trackfront_core::ids::HallName;
 use trackfrontd::shared::Shared;
 
 /// The way within a hall, in one direction.
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub struct MemoryNet {
     boxes: Mutex<HashMap<String, Arc<Shared>>>,
-    cut_halls: Mutex<HashSet<ZoneName>>,
+    cut_halls: Mutex<HashSet<HallName>>,
     /// How many of the next answers of peers are lost.
     lose_answers: Mutex<u32>,
     /// How many bytes boxes have sent to each other.
@@ -43,7 +43,7 @@
     }
 
     /// Cuts a hall off from all others and from the platform.
-    pub fn cut(&self, hall: &ZoneName) {
+    pub fn cut(&self, hall: &HallName) {
         self.cut_halls.lock().insert(hall.clone());
     }
 
@@ -76,18 +76,18 @@
     }
 
     /// Returns whether there is a way between two halls.
-    pub fn reaches(&self, from: &ZoneName, to: &ZoneName) -> bool {
+    pub fn reaches(&self, from: &HallName, to: &HallName) -> bool {
         let cut = self.cut_halls.lock();
         from == to || !(cut.contains(from) || cut.contains(to))
     }
 
     /// Returns whether there is a way from a hall to the platform.
-    pub fn reaches_platform(&self, from: &ZoneName) -> bool {
+    pub fn reaches_platform(&self, from: &HallName) -> bool {
         !self.cut_halls.lock().contains(from)
     }
 
     /// Waits for the way between two halls.
-    pub async fn travel(&self, from: &ZoneName, to: &ZoneName) {
+    pub async fn travel(&self, from: &HallName, to: &HallName) {
         tokio::time::sleep(if from == to { SAME_HALL } else { OTHER_HALL }).await;
     }
 }
--- a/trackfront_standin/src/memory/ports.rs
+++ b/trackfront_standin/src/memory/ports.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use trackfront_adapters::metrics::Metrics;
 use trackfront_adapters::peers::encoded_len;
-use trackfront_core::ids::{RequestId, ZoneName};
+use trackfront_core::ids::{HallName, RequestId};
 use trackfront_core::order::Order;
 use trackfront_core::ports::peers::{PeerAnswer, PeerMessage};
 use trackfront_core::ports::{
@@ -32,11 +32,11 @@
 #[derive(Clone)]
 struct Way {
     net: Arc<MemoryNet>,
-    from: ZoneName,
+    from: HallName,
 }
 
 impl Way {
-    fn new(net: &Arc<MemoryNet>, from: &ZoneName) -> Self {
+    fn new(net: &Arc<MemoryNet>, from: &HallName) -> Self {
         Self { net: net.clone(), from: from.clone() }
     }
 
@@ -55,7 +55,7 @@
 impl CutTable {
     pub fn new(
         net: &Arc<MemoryNet>,
-        from: &ZoneName,
+        from: &HallName,
         table: TableStandin,
         metrics: Arc<Metrics>,
     ) -> Self {
@@ -100,7 +100,7 @@
 }
 
 impl CutObjects {
-    pub fn new(net: &Arc<MemoryNet>, from: &ZoneName, objects: ObjectStandin) -> Self {
+    pub fn new(net: &Arc<MemoryNet>, from: &HallName, objects: ObjectStandin) -> Self {
         Self { way: Way::new(net, from), objects }
     }
 
@@ -142,7 +142,7 @@
 }
 
 impl CutBoxList {
-    pub fn new(net: &Arc<MemoryNet>, from: &ZoneName, list: BoxListStandin) -> Self {
+    pub fn new(net: &Arc<MemoryNet>, from: &HallName, list: BoxListStandin) -> Self {
         Self { way: Way::new(net, from), list }
     }
 }
@@ -163,7 +163,7 @@
 }
 
 impl MemoryPeers {
-    pub fn new(net: &Arc<MemoryNet>, from: &ZoneName) -> Self {
+    pub fn new(net: &Arc<MemoryNet>, from: &HallName) -> Self {
         Self { way: Way::new(net, from) }
     }
 }
@@ -192,16 +192,16 @@
 /// All backend servers by address.
 #[derive(Default)]
 pub struct Links {
-    engines: HashMap<String, (ZoneName, EngineStandin)>,
-    plain: HashMap<String, (ZoneName, PlainStandin)>,
+    engines: HashMap<String, (HallName, EngineStandin)>,
+    plain: HashMap<String, (HallName, PlainStandin)>,
 }
 
 impl Links {
-    pub fn add_engine(&mut self, address: &str, hall: &ZoneName, engine: &EngineStandin) {
+    pub fn add_engine(&mut self, address: &str, hall: &HallName, engine: &EngineStandin) {
         self.engines.insert(address.to_string(), (hall.clone(), engine.clone()));
     }
 
-    pub fn add_plain(&mut self, address: &str, hall: &ZoneName, server: &PlainStandin) {
+    pub fn add_plain(&mut self, address: &str, hall: &HallName, server: &PlainStandin) {
         self.plain.insert(address.to_string(), (hall.clone(), server.clone()));
     }
 }
@@ -213,7 +213,7 @@
 }
 
 impl MemoryBackends {
-    pub fn new(net: &Arc<MemoryNet>, from: &ZoneName, links: Arc<Links>) -> Self {
+    pub fn new(net: &Arc<MemoryNet>, from: &HallName, links: Arc<Links>) -> Self {
         Self { way: Way::new(net, from), links }
     }
 }
@@ -245,7 +245,7 @@
 /// A server of a plain service through the network.
 struct CutPlain {
     way: Way,
-    to: ZoneName,
+    to: HallName,
     server: PlainStandin,
 }
 
@@ -267,7 +267,7 @@
 /// An engine through the network.
 struct CutEngine {
     way: Way,
-    to: ZoneName,
+    to: HallName,
     engine: EngineStandin,
 }
 
--- a/trackfrontd/src/follower.rs
+++ b/trackfrontd/src/follower.rs
@@ -5,7 +5,7 @@
 
 use thiserror::Error;
 use trackfront_core::audit::AuditEvent;
-use trackfront_core::ids::{Revision, ZoneName};
+use trackfront_core::ids::{HallName, Revision};
 use trackfront_core::ports::peers::{PeerAnswer, PeerMessage};
 use trackfront_core::ports::{ObjectError, PeerError, Row, RowKey, TableError};
 use trackfront_core::tree::snapshot::Head;
@@ -113,7 +113,7 @@
     };
     shared.metrics.revision.set(revision.0);
     if let Some(current) = shared.in_force.current() {
-        let engines: Vec<(_, ZoneName)> = current
+        let engines: Vec<(_, HallName)> = current
             .tree
             .shards()
             .filter(|(_, service)| matches!(service.kind, ServiceKind::Engines { .. }))
--- a/trackfrontd/src/gateway/plain.rs
+++ b/trackfrontd/src/gateway/plain.rs
@@ -9,7 +9,7 @@
 use trackfront_adapters::http_server::{Body, full};
 use trackfront_adapters::plain::passed_on;
 use trackfront_core::claims::RecordedAnswer;
-use trackfront_core::ids::{AccountName, RequestId, ServiceName, ZoneName};
+use trackfront_core::ids::{AccountName, HallName, RequestId, ServiceName};
 use trackfront_core::outcome::{Outcome, RequestError};
 use trackfront_core::ports::{PlainCall, PlainError, PlainReply};
 use trackfront_core::units::Moment;
@@ -175,7 +175,7 @@
     servers
 }
 
-fn is_here(hall: &ZoneName, shared: &Shared) -> bool {
+fn is_here(hall: &HallName, shared: &Shared) -> bool {
     *hall == shared.place.hall
 }
 
--- a/trackfrontd/src/in_force.rs
+++ b/trackfrontd/src/in_force.rs
@@ -8,7 +8,7 @@
 use parking_lot::Mutex;
 use thiserror::Error;
 use trackfront_core::ids::{
-    AccountName, BackendId, ItemKey, RegionName, Revision, ServiceName, ShardId, ZoneName,
+    AccountName, BackendId, HallName, ItemKey, RegionName, Revision, ServiceName, ShardId,
 };
 use trackfront_core::ports::{Engine, PlainService};
 use trackfront_core::tree::snapshot::SnapshotError;
@@ -115,7 +115,7 @@
     /// Its name.
     pub id: BackendId,
     /// Its hall.
-    pub hall: ZoneName,
+    pub hall: HallName,
     /// The way to it.
     pub link: Arc<dyn PlainService>,
 }
--- a/trackfrontd/src/outside.rs
+++ b/trackfrontd/src/outside.rs
@@ -11,7 +11,7 @@
 use trackfront_adapters::plain::HttpPlainService;
 use trackfront_adapters::platform::{HttpBoxList, HttpObjects, HttpTable};
 use trackfront_core::fleet::Fleet;
-use trackfront_core::ids::ZoneName;
+use trackfront_core::ids::HallName;
 use trackfront_core::placement::{PlanMoves, Planner};
 use trackfront_core::ports::{
     BoxList, Clock, CommitOutcome, Engine, Objects, Peers, PlainService, Row, RowKey, Table,
@@ -60,10 +60,10 @@
 }
 
 /// Makes a chooser over a box's engines, for a box in a hall. Benchmarks put baselines here.
-pub type MakeChooser = fn(Arc<Fleet>, &ZoneName) -> Box<dyn ChooseEngine>;
+pub type MakeChooser = fn(Arc<Fleet>, &HallName) -> Box<dyn ChooseEngine>;
 
 /// Makes the router.
-pub fn make_router(fleet: Arc<Fleet>, hall: &ZoneName) -> Box<dyn ChooseEngine> {
+pub fn make_router(fleet: Arc<Fleet>, hall: &HallName) -> Box<dyn ChooseEngine> {
     Box::new(Router::new(fleet, hall.clone(), RouterOptions::default()))
 }
 
@@ -86,7 +86,7 @@
     }
 
     /// Makes the chooser of engines for a box in `hall`.
-    pub fn chooser(&self, fleet: Arc<Fleet>, hall: &ZoneName) -> Box<dyn ChooseEngine> {
+    pub fn chooser(&self, fleet: Arc<Fleet>, hall: &HallName) -> Box<dyn ChooseEngine> {
         (self.make_chooser)(fleet, hall)
     }
 }
--- a/trackfrontd/src/serving/boxes.rs
+++ b/trackfrontd/src/serving/boxes.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::{sleep, timeout};
 use trackfront_adapters::serving_metrics::KindLabel;
-use trackfront_core::ids::{TxnId, ZoneName, draw_id};
+use trackfront_core::ids::{HallName, TxnId, draw_id};
 use trackfront_core::ports::{CommitOutcome, Expect, Row, RowKey, TableError, Transaction, Write};
 
 use super::delegates::{ListedBox, Strength};
@@ -318,7 +318,7 @@
         log::warn!(row = row.key.0, error:% = error; "row of a box not understood");
         Strength::default()
     });
-    Some(ListedBox { ip, hall: short_zone(&ZoneName::from(hall)), strength })
+    Some(ListedBox { ip, hall: short_zone(&HallName::from(hall)), strength })
 }
 
 /// Tells all boxes of the list which there are.
--- a/trackfrontd/src/serving/node.rs
+++ b/trackfrontd/src/serving/node.rs
@@ -11,7 +11,7 @@
 use trackfront_adapters::interface::{ClientInterface, ServerInterface};
 use trackfront_adapters::serving_metrics::{KindLabel, ServingMetrics};
 use trackfront_adapters::upstream::UpstreamPool;
-use trackfront_core::ids::{BackendId, ZoneName};
+use trackfront_core::ids::{BackendId, HallName};
 use trackfront_core::ports::{Clock, Knowledge, Table};
 use trackfront_core::serving::adapter_use::AdapterUse;
 use trackfront_core::serving::affinity::PromptMemory;
@@ -434,7 +434,7 @@
 }
 
 /// Returns a zone's short name.
-pub fn short_zone(zone: &ZoneName) -> u32 {
+pub fn short_zone(zone: &HallName) -> u32 {
     short(zone.as_str().as_bytes())
 }
 
--- a/trackfrontd/src/serving/settings.rs
+++ b/trackfrontd/src/serving/settings.rs
@@ -9,7 +9,7 @@
 use super::node::short_zone;
 use serde::Deserialize;
 use thiserror::Error;
-use trackfront_core::ids::{RegionName, ZoneName};
+use trackfront_core::ids::{HallName, RegionName};
 use trackfront_core::serving::cold::ColdTerms;
 use trackfront_core::serving::freshness::KeyTerms;
 use trackfront_core::serving::orders::LoadTerms;
@@ -53,7 +53,7 @@
     pub promises: PromiseSettings,
     /// The region of each hall that servers may stand in.
     #[serde(default)]
-    pub halls: BTreeMap<ZoneName, RegionName>,
+    pub halls: BTreeMap<HallName, RegionName>,
 }
 
 /// Who and where the node is.
@@ -65,7 +65,7 @@
     /// The address that other nodes reach it at.
     pub ip: Ipv4Addr,
     /// The zone.
-    pub zone: ZoneName,
+    pub zone: HallName,
     /// The region.
     pub region: RegionName,
     /// Whether the whole system starts for the first time: no other box is up yet.
--- a/trackfrontd/src/settings.rs
+++ b/trackfrontd/src/settings.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 use trackfront_adapters::key::DeploymentKey;
-use trackfront_core::ids::{RegionName, ZoneName};
+use trackfront_core::ids::{HallName, RegionName};
 
 /// The number of worker threads if the settings do not say.
 const DEFAULT_WORKERS: usize = 4;
@@ -62,7 +62,7 @@
     /// The region.
     pub region: RegionName,
     /// The hall.
-    pub hall: ZoneName,
+    pub hall: HallName,
 }
 
 /// The addresses that the box listens on.
--- a/trackfrontd/tests/failures.rs
+++ b/trackfrontd/tests/failures.rs
@@ -7,7 +7,7 @@
 
 use serde::Deserialize;
 use tokio::task::JoinHandle;
-use trackfront_core::ids::{BackendId, ShardId, ZoneName};
+use trackfront_core::ids::{BackendId, HallName, ShardId};
 use trackfront_core::outcome::RequestError;
 use trackfront_core::ports::{Engine, ListedState};
 use trackfront_standin::control::PlatformFaults;
@@ -154,7 +154,7 @@
             }
             Step::Table { faults } => self.deployment.table.faults.set(faults),
             Step::LoseAnswers { count } => self.deployment.net.lose_answers(count),
-            Step::Cut { hall } => self.deployment.net.cut(&ZoneName::from(hall)),
+            Step::Cut { hall } => self.deployment.net.cut(&HallName::from(hall)),
             Step::Heal => self.deployment.net.heal(),
             Step::KillKeeper => self.kill_keeper()?,
             Step::CopyModel => self.copy_model().await?,
--- a/trackfrontd/tests/random.rs
+++ b/trackfrontd/tests/random.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use tokio::task::JoinHandle;
-use trackfront_core::ids::ZoneName;
+use trackfront_core::ids::HallName;
 use trackfront_core::outcome::Outcome;
 use trackfront_standin::engine::EngineFaults;
 use trackfront_standin::memory::{CallResult, MemoryDeployment, MemorySpec, call, text};
@@ -77,7 +77,7 @@
 /// A run and what was seen in it.
 struct Run {
     deployment: MemoryDeployment,
-    halls: Vec<ZoneName>,
+    halls: Vec<HallName>,
     calls: Vec<(String, JoinHandle<CallResult>)>,
     texts: Vec<JoinHandle<()>>,
 }
