--- a/trackfrontd/src/serving/cold.rs
+++ b/trackfrontd/src/serving/cold.rs
@@ -50,7 +50,7 @@
 }
 
 /// Keeps the list of boxes that may send to cold servers up to date, for as long as the box lives.
-pub async fn follow_boxes(node: Arc<ServingNode>) {
+pub async fn maintain_senders(node: Arc<ServingNode>) {
     loop {
         // A part of the boxes would make senders of too many.
         if node.knows_nodes() {
@@ -63,7 +63,7 @@
 }
 
 /// Takes the right to send a request to a server, if it is cold. Returns whether the request may be sent.
-pub fn take(
+pub fn reserve(
     node: &ServingNode,
     start: Option<ColdStart>,
     server: &KnownServer,
--- a/trackfrontd/src/serving/crashes/mod.rs
+++ b/trackfrontd/src/serving/crashes/mod.rs
@@ -15,9 +15,9 @@
 use std::time::Duration;
 
 use outbox::Outbox;
-pub use outbox::tell;
+pub use outbox::broadcast;
 use parking_lot::Mutex;
-pub use rows::{copy, keep};
+pub use rows::{maintain_rows, snapshot};
 use tokio::sync::Notify;
 use tokio::time::sleep;
 use trackfront_adapters::serving_metrics::KindLabel;
@@ -112,7 +112,7 @@
 }
 
 /// Notes that the connection broke under a request that a server worked on, and has the server looked at.
-pub fn broke(
+pub fn connection_broke(
     node: &Arc<ServingNode>,
     request: &RequestId,
     fingerprint: Fingerprint,
@@ -143,14 +143,14 @@
     if let Err(UpstreamError::ConnectionRefused(_)) =
         node.pool.open_spare(address, CONNECT_TIME).await
     {
-        refused(&node, id);
+        connection_refused(&node, id);
     }
     node.crashes.looking.lock().remove(id);
 }
 
 /// Notes that nobody listens at a server's address, and has the other boxes told. With four of eight servers down 50 of 50
 /// requests at six boxes are answered, where each box found out by itself 26 (`platform/tests/crashes.rs`).
-pub fn refused(node: &ServingNode, server: &BackendId) {
+pub fn connection_refused(node: &ServingNode, server: &BackendId) {
     let now = node.now();
     let is_news = node.crashes.outbox.lock().add_ended(server, now);
     server_ended(node, server, "it refuses connections");
@@ -160,7 +160,7 @@
 }
 
 /// Notes that a server's row went, or that a later run of it wrote another.
-pub fn left(node: &ServingNode, server: &BackendId) {
+pub fn server_left(node: &ServingNode, server: &BackendId) {
     let learned = node.crashes.book.lock().ended(run_id(server), node.now());
     for (fingerprint, what) in learned {
         note(node, fingerprint, what, server.as_str());
@@ -185,20 +185,20 @@
 }
 
 /// Notes that a request was answered whole.
-pub fn answered(node: &ServingNode, fingerprint: Fingerprint) {
+pub fn request_completed(node: &ServingNode, fingerprint: Fingerprint) {
     let learned = node.crashes.book.lock().answered(fingerprint, node.now());
     note(node, fingerprint, learned, "it was answered whole");
 }
 
 /// Lets a request that is held off go again, at all boxes. Returns whether it was held off.
-pub fn let_go(node: &ServingNode, fingerprint: Fingerprint) -> bool {
+pub fn release(node: &ServingNode, fingerprint: Fingerprint) -> bool {
     let learned = node.crashes.book.lock().excuse(fingerprint, node.now());
     note(node, fingerprint, learned, "an operator let it go");
     learned == Learned::LetGo
 }
 
 /// Takes in what another box knows.
-pub fn take_in(node: &ServingNode, from: Ipv4Addr, reports: &[CrashReport]) {
+pub fn merge_reports(node: &ServingNode, from: Ipv4Addr, reports: &[CrashReport]) {
     for report in reports {
         let fingerprint = report.fingerprint;
         let (learned, is_held_off, knows_excuse) = {
@@ -217,7 +217,7 @@
             // The box that told knows less, or may end before all have heard of it.
             tell_all(node, fingerprint);
         } else {
-            node.crashes.outbox.lock().heard(fingerprint);
+            node.crashes.outbox.lock().record_received(fingerprint);
         }
     }
 }
@@ -229,13 +229,13 @@
 }
 
 /// Takes in which servers another box found to have ended.
-pub fn take_in_ended(node: &ServingNode, servers: &[u32]) {
+pub fn merge_ended(node: &ServingNode, servers: &[u32]) {
     let ids: Vec<BackendId> = {
         let names = node.names.lock();
         servers.iter().filter_map(|short| names.server(*short).cloned()).collect()
     };
     for id in ids {
-        node.crashes.outbox.lock().heard_ended(&id, node.now());
+        node.crashes.outbox.lock().record_received_end(&id, node.now());
         server_ended(node, &id, "another box says so");
     }
 }
--- a/trackfrontd/src/serving/crashes/operators.rs
+++ b/trackfrontd/src/serving/crashes/operators.rs
@@ -5,7 +5,7 @@
 use trackfront_adapters::wire::held_off::{HELD_OFF_PATH, HeldOff, LET_GO_PATH};
 use trackfront_core::serving::fingerprint::Fingerprint;
 
-use super::let_go;
+use super::release;
 use crate::serving::node::ServingNode;
 
 /// Answers an operator; `None` if the path is about something else.
@@ -18,7 +18,7 @@
         return Some(refused(StatusCode::METHOD_NOT_ALLOWED, "letting go takes POST"));
     }
     Some(match u64::from_str_radix(fingerprint, 16) {
-        Ok(number) if let_go(node, Fingerprint(number)) => json(StatusCode::OK, &list(node)),
+        Ok(number) if release(node, Fingerprint(number)) => json(StatusCode::OK, &list(node)),
         Ok(_) => refused(StatusCode::NOT_FOUND, "no such request is held off; list them"),
         Err(_) => refused(StatusCode::BAD_REQUEST, "a fingerprint has 16 hexadecimal digits"),
     })
--- a/trackfrontd/src/serving/crashes/outbox.rs
+++ b/trackfrontd/src/serving/crashes/outbox.rs
@@ -77,7 +77,7 @@
     }
 
     /// Notes that another box told what this one knows of a request.
-    pub fn heard(&mut self, fingerprint: Fingerprint) {
+    pub fn record_received(&mut self, fingerprint: Fingerprint) {
         self.reports.retain(|waiting, telling| *waiting != fingerprint || !telling.is_excuse);
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Notes that another box told of the end of a server.
-    pub fn heard_ended(&mut self, server: &BackendId, now: Moment) {
+    pub fn record_received_end(&mut self, server: &BackendId, now: Moment) {
         self.told_ended.insert(server.clone(), now);
         self.ended.retain(|waiting| waiting != server);
     }
@@ -126,7 +126,7 @@
 }
 
 /// Tells other boxes, for as long as this one lives.
-pub async fn tell(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
+pub async fn broadcast(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     loop {
         let woken = node.crashes.to_tell.notified();
         if node.crashes.outbox.lock().is_empty() {
@@ -135,12 +135,12 @@
             let _ = timeout(AGAIN_AFTER / 4, woken).await;
         }
         sleep(GATHER).await;
-        tell_ended(&node, &socket).await;
-        tell_reports(&node, &socket).await;
+        broadcast_ended(&node, &socket).await;
+        broadcast_reports(&node, &socket).await;
     }
 }
 
-async fn tell_ended(node: &ServingNode, socket: &PeerSocket) {
+async fn broadcast_ended(node: &ServingNode, socket: &PeerSocket) {
     let now = node.now();
     let ended = node.crashes.outbox.lock().take_ended(now);
     if ended.is_empty() {
@@ -153,7 +153,7 @@
     }
 }
 
-async fn tell_reports(node: &ServingNode, socket: &PeerSocket) {
+async fn broadcast_reports(node: &ServingNode, socket: &PeerSocket) {
     let now = node.now();
     let due = node.crashes.outbox.lock().take_due(now);
     if due.is_empty() {
--- a/trackfrontd/src/serving/crashes/rows.rs
+++ b/trackfrontd/src/serving/crashes/rows.rs
@@ -35,7 +35,7 @@
 const WRITER_STEP: Duration = Duration::from_millis(2_000);
 
 /// Learns what is held off, then keeps the rows of what this box counts.
-pub async fn keep(node: Arc<ServingNode>) {
+pub async fn maintain_rows(node: Arc<ServingNode>) {
     load(&node).await;
     loop {
         let _ = timeout(LOOK_EVERY, node.crashes.to_keep.notified()).await;
@@ -54,12 +54,12 @@
     for round in 0.. {
         let others = boxes::likely_up(node);
         if let Some(reports) = exchange::fetch_crashes(node, &others).await {
-            return take_in(node, reports, "another box");
+            return apply_loaded(node, reports, "another box");
         }
         let reads = spread::hall_mates(node).is_reader() || round >= ROUNDS_FOR_READER;
         if reads {
             match read_rows(node).await {
-                Ok(reports) => return take_in(node, reports, "the platform's table"),
+                Ok(reports) => return apply_loaded(node, reports, "the platform's table"),
                 Err(error) => log::info!(error:% = error; "crashes not read"),
             }
         }
@@ -67,7 +67,7 @@
     }
 }
 
-fn take_in(node: &ServingNode, reports: Vec<CrashReport>, from: &'static str) {
+fn apply_loaded(node: &ServingNode, reports: Vec<CrashReport>, from: &'static str) {
     let now = node.now();
     let count = reports.len();
     {
@@ -82,7 +82,7 @@
 }
 
 /// Returns what is held off, for a box that starts; `None` if this box does not know itself.
-pub fn copy(node: &ServingNode) -> Option<Vec<CrashReport>> {
+pub fn snapshot(node: &ServingNode) -> Option<Vec<CrashReport>> {
     let held_off = || node.crashes.all_held_off().into_iter().map(|(report, _)| report).collect();
     node.crashes.is_loaded().then(held_off)
 }
--- a/trackfrontd/src/serving/exchange.rs
+++ b/trackfrontd/src/serving/exchange.rs
@@ -144,14 +144,14 @@
 /// Answers a box that asks for a copy; `None` if the path is not that of a copy.
 pub fn answer(node: &ServingNode, path: &str) -> Option<Response<Body>> {
     if path == CRASHES_PATH {
-        return Some(copy_response(crashes::copy(node).map(|reports| pack(&reports))));
+        return Some(copy_response(crashes::snapshot(node).map(|reports| pack(&reports))));
     }
     if path == BOXES_PATH {
         let boxes = node.knows_nodes().then(|| node.peers.lock().listed());
         return Some(copy_response(boxes.map(|boxes| pack(&boxes))));
     }
     if path == NOTICES_PATH {
-        return Some(copy_response(notices::copy(node).map(|told| pack(&told))));
+        return Some(copy_response(notices::snapshot(node).map(|told| pack(&told))));
     }
     let known = |prefix| path.strip_prefix(prefix)?.parse::<u64>().ok();
     match (known(CONFIG_PATH), known(SERVERS_PATH)) {
--- a/trackfrontd/src/serving/follow/servers.rs
+++ b/trackfrontd/src/serving/follow/servers.rs
@@ -94,7 +94,7 @@
 /// nothing if it is older than what is known.
 fn take_listing(node: &ServingNode, listing: Listing<ServerChange>) -> (u64, Option<Found>) {
     let rows: Vec<ServerChange> = listing.rows.into_iter().map(|(_, row)| row).collect();
-    node.unusable_rows.note(&rows, &node.metrics);
+    node.unusable_rows.record(&rows, &node.metrics);
     let mut directory = node.directory.lock();
     let from = directory.newest();
     let now = node.now();
@@ -151,7 +151,7 @@
 }
 
 fn take_changes(node: &ServingNode, changes: Vec<ServerChange>, to: u64) -> Vec<DirectoryEvent> {
-    node.unusable_rows.note(&changes, &node.metrics);
+    node.unusable_rows.record(&changes, &node.metrics);
     let now = node.now();
     let mut directory = node.directory.lock();
     let events = directory.apply(changes, to, now);
@@ -251,6 +251,6 @@
         }
     }
     drop(loads);
-    gone.iter().for_each(|id| crashes::left(node, id));
+    gone.iter().for_each(|id| crashes::server_left(node, id));
     node.servers_changed.notify_waiters();
 }
--- a/trackfrontd/src/serving/gossip.rs
+++ b/trackfrontd/src/serving/gossip.rs
@@ -18,11 +18,11 @@
 
 use super::messages::{Digest, Message, ToldDemand, ToldNote, ToldRight, ToldShare};
 use super::node::{ServingNode, short_item, short_server, short_zone};
-use super::overlay::NoteKind;
+use super::overlay::EntryKind;
 use super::peer_book::{ALIVE_FOR, LEAST_GAP};
 use super::peer_socket::{MAX_DATAGRAM, PeerSocket};
 use super::spread as relay;
-use super::{boxes, crashes, lacks, newest, notices, quota, turns};
+use super::{boxes, crashes, missing_items, newest, notices, permits, quota};
 
 /// The least time between a digest and one that is sent early for something urgent.
 const URGENT_GAP: Duration = Duration::from_millis(20);
@@ -66,7 +66,7 @@
             let digest = digest(&node, zone, gives, right);
             socket.send(&Message::Digest(digest), &told).await;
         }
-        let lacks = node.lacks.take();
+        let lacks = node.missing_items.take();
         if !gives && (!lacks.is_empty() || (is_due && round.is_multiple_of(DEMAND_EVERY))) {
             let giver = node.peers.lock().giver(now);
             let demand = Message::Demand(demand(&node, &lacks));
@@ -147,8 +147,8 @@
 
 fn notes(node: &ServingNode) -> Vec<ToldNote> {
     let overlay = node.overlay.lock();
-    let note = |(server, item, kind): (&_, &_, NoteKind)| {
-        (short_server(server), short_item(item), kind == NoteKind::Added)
+    let note = |(server, item, kind): (&_, &_, EntryKind)| {
+        (short_server(server), short_item(item), kind == EntryKind::Added)
     };
     overlay.all().map(note).collect()
 }
@@ -188,19 +188,19 @@
             Ok((Message::Demand(told), _)) => take_demand(&node, &socket, ip, &told),
             Ok((Message::Relay(relay), _)) => relay::take_in(&node, ip, relay),
             Ok((Message::PackedRelay(packed), _)) => relay::take_in_packed(&node, ip, &packed),
-            Ok((Message::Coming(coming), _)) => lacks::take_in(&node, &coming),
+            Ok((Message::Coming(coming), _)) => missing_items::apply_report(&node, &coming),
             Ok((Message::Boxes(told), _)) => boxes::take_in(&node, &socket, told).await,
             Ok((Message::AskNewest(question), _)) => newest::answer(&node, &socket, ip, question),
             Ok((Message::Newest(told), _)) => newest::take_in(&node, ip, told),
             Ok((Message::AskQuota(ask), _)) => quota::answer(&node, &socket, ip, &ask),
-            Ok((Message::Quota(answer), _)) => quota::take_in(&node, ip, &answer),
-            Ok((Message::Crashes(reports), _)) => crashes::take_in(&node, ip, &reports),
-            Ok((Message::ServersEnded(servers), _)) => crashes::take_in_ended(&node, &servers),
+            Ok((Message::Quota(answer), _)) => quota::handle_answer(&node, ip, &answer),
+            Ok((Message::Crashes(reports), _)) => crashes::merge_reports(&node, ip, &reports),
+            Ok((Message::ServersEnded(servers), _)) => crashes::merge_ended(&node, &servers),
             Ok((Message::ServerNotices(told), _)) => {
-                notices::hear_told(&node, &socket, ip, told).await
+                notices::handle_batch(&node, &socket, ip, told).await
             }
-            Ok((Message::AskTurn(ask), _)) => turns::answer(&node, &socket, ip, &ask),
-            Ok((Message::Turn(told), _)) => turns::take_in(&node, told),
+            Ok((Message::AskTurn(ask), _)) => permits::answer(&node, &socket, ip, &ask),
+            Ok((Message::Turn(told), _)) => permits::handle_reply(&node, told),
             Err(error) => {
                 let now = node.now();
                 if now.since(reported) > ALIVE_FOR {
@@ -227,7 +227,7 @@
         told.lacks.iter().filter_map(|item| names.item(*item).cloned()).collect();
     drop(names);
     if !lacks.is_empty() {
-        lacks::answer(node, socket, ip, &lacks);
+        missing_items::answer(node, socket, ip, &lacks);
         node.lacking.notify_one();
     }
 }
@@ -254,8 +254,8 @@
     let mut overlay = node.overlay.lock();
     for (server, item, added) in notes {
         if let (Some(server), Some(item)) = (names.server(*server), names.item(*item)) {
-            let kind = if *added { NoteKind::Added } else { NoteKind::Withdrawn };
-            overlay.note(server, item, kind, now);
+            let kind = if *added { EntryKind::Added } else { EntryKind::Withdrawn };
+            overlay.record(server, item, kind, now);
         }
     }
     node.servers_changed.notify_waiters();
--- a/trackfrontd/src/serving/lease.rs
+++ b/trackfrontd/src/serving/lease.rs
@@ -57,9 +57,9 @@
 
 /// The right to give orders as the tasks that give them see it.
 #[derive(Debug, Default)]
-pub struct OrderRight(Mutex<Option<Right>>);
+pub struct OrderFence(Mutex<Option<Right>>);
 
-impl OrderRight {
+impl OrderFence {
     /// Returns the fencing token if orders may be given at `now`. To be asked last thing before
     /// each send.
     pub fn usable(&self, now: Moment) -> Option<Fence> {
@@ -81,13 +81,13 @@
     looked_at: Option<Moment>,
     vacant_since: Option<Moment>,
     failing_since: Option<Moment>,
-    right: Arc<OrderRight>,
+    right: Arc<OrderFence>,
     giving: Arc<Giving>,
 }
 
 impl OrderLease {
     /// Makes a lease that is not held.
-    pub fn new(node: Arc<ServingNode>, right: Arc<OrderRight>, giving: Arc<Giving>) -> Self {
+    pub fn new(node: Arc<ServingNode>, right: Arc<OrderFence>, giving: Arc<Giving>) -> Self {
         // One name for each machine: a process that comes back on it is the same holder.
         let me = NodeId::from(node.settings.load().node.ip.to_string());
         Self {
@@ -105,13 +105,13 @@
     }
 
     /// Returns whether this node is the one that gives orders.
-    pub fn is_giver(&self) -> bool {
+    pub fn is_holder(&self) -> bool {
         self.giving.get()
     }
 
     /// Takes the lease if nobody else gives orders. Returns whether this node does.
-    pub async fn stand(&mut self) -> bool {
-        if self.is_giver() {
+    pub async fn try_acquire(&mut self) -> bool {
+        if self.is_holder() {
             return true;
         }
         let now = self.node.now();
@@ -136,7 +136,7 @@
         if self.right.usable(now + ENOUGH_LEFT).is_some() {
             return true;
         }
-        if !self.is_giver() {
+        if !self.is_holder() {
             return false;
         }
         let renewed = match self.right.usable(now) {
@@ -148,15 +148,15 @@
             return true;
         }
         let failing_since = *self.failing_since.get_or_insert(now);
-        if self.is_giver() && self.node.now().since(failing_since) > RENEW_FOR {
+        if self.is_holder() && self.node.now().since(failing_since) > RENEW_FOR {
             self.lose("it could not be renewed");
         }
         false
     }
 
     /// Gives the lease up, so that another node can take it without waiting for its end.
-    pub async fn give_up(&mut self) {
-        if !self.is_giver() {
+    pub async fn release(&mut self) {
+        if !self.is_holder() {
             return;
         }
         self.lose("the node stops");
@@ -196,7 +196,7 @@
         let (seen, word) = (self.seen.as_ref(), self.holders_word());
         let Some(row) = takeover_on_word(seen, word, &self.me, self.terms(), now) else {
             let held_by_other = self.seen.as_ref().and_then(|seen| seen.row.holder.as_ref());
-            if self.is_giver() && held_by_other.is_some_and(|holder| *holder != self.me) {
+            if self.is_holder() && held_by_other.is_some_and(|holder| *holder != self.me) {
                 self.lose("another node has it");
             }
             return false;
@@ -279,7 +279,7 @@
         self.right.set(None);
         self.failing_since = None;
         self.vacant_since = None;
-        if self.is_giver() {
+        if self.is_holder() {
             self.giving.set(false);
             self.machine.handle(&LeaseEvent::Superseded);
             log::warn!(cause; "order lease lost");
--- a/trackfrontd/src/serving/messages.rs
+++ b/trackfrontd/src/serving/messages.rs
@@ -11,7 +11,7 @@
 use trackfront_core::units::Moment;
 
 use super::delegates::{ListedBox, Strength};
-use super::lacks::ComingItem;
+use super::missing_items::PendingItem;
 use super::spread::Relay;
 
 /// How many requests of one rank a box can have under way at a server: more than it takes connections. What
@@ -30,7 +30,7 @@
     /// The same, packed.
     PackedRelay(Vec<u8>),
     /// Items that are on their way, for a box that lacks them.
-    Coming(Vec<ComingItem>),
+    Coming(Vec<PendingItem>),
     /// All boxes that a list had.
     Boxes(ToldBoxes),
     /// A question for the newest row of the configuration.
--- a/trackfrontd/src/serving/lacks.rs
+++ b/trackfrontd/src/serving/missing_items.rs
@@ -18,7 +18,7 @@
 
 use super::messages::Message;
 use super::node::{ServingNode, short_item, short_server};
-use super::overlay::NoteKind;
+use super::overlay::EntryKind;
 use super::peer_socket::PeerSocket;
 
 /// How long a box that lacks something is told of it, in case its question came before the order.
@@ -36,7 +36,7 @@
 
 /// Word of an item that should be at an engine so many milliseconds from now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ComingItem {
+pub struct PendingItem {
     server: u32,
     item: u32,
     ms: u32,
@@ -44,7 +44,7 @@
 
 /// What is lacking here, and who else lacks something.
 #[derive(Debug)]
-pub struct Lacks {
+pub struct MissingItems {
     /// What this box lacked since it last told.
     own: Mutex<BTreeSet<ModelRef>>,
     /// The boxes that asked for items that were not on their way.
@@ -56,7 +56,7 @@
     adapter_wait_ms: Mutex<f64>,
 }
 
-impl Default for Lacks {
+impl Default for MissingItems {
     fn default() -> Self {
         Self {
             own: Mutex::default(),
@@ -68,9 +68,9 @@
     }
 }
 
-impl Lacks {
+impl MissingItems {
     /// Notes that this box lacks an item.
-    pub fn note(&self, item: &ModelRef) {
+    pub fn record(&self, item: &ModelRef) {
         self.own.lock().insert(item.clone());
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// Notes how long one took, or for how long it was waited for in vain.
-    pub fn note_adapter_wait(&self, took: Duration) {
+    pub fn record_adapter_wait(&self, took: Duration) {
         let mut mean = self.adapter_wait_ms.lock();
         *mean += MEAN_WEIGHT * (took.as_secs_f64() * 1_000.0 - *mean);
     }
@@ -93,21 +93,21 @@
 
 /// Notes, at the box that gave the order, that an item should be at an engine at a moment.
 pub fn expect(node: &ServingNode, server: &BackendId, item: &ModelRef, at: Moment) {
-    let kind = NoteKind::Coming(at);
-    node.overlay.lock().note(server, item, kind, node.now());
-    node.lacks.ordered.lock().insert(item.clone());
-    node.lacks.on_its_way.notify_one();
+    let kind = EntryKind::Pending(at);
+    node.overlay.lock().record(server, item, kind, node.now());
+    node.missing_items.ordered.lock().insert(item.clone());
+    node.missing_items.on_its_way.notify_one();
 }
 
 /// Tells boxes that asked for what has come on its way, for as long as the box lives.
-pub async fn tell_askers(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
+pub async fn notify_askers(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     loop {
-        node.lacks.on_its_way.notified().await;
+        node.missing_items.on_its_way.notified().await;
         let now = node.now();
-        let ordered = std::mem::take(&mut *node.lacks.ordered.lock());
-        let mut words: HashMap<Ipv4Addr, Vec<ComingItem>> = HashMap::new();
+        let ordered = std::mem::take(&mut *node.missing_items.ordered.lock());
+        let mut words: HashMap<Ipv4Addr, Vec<PendingItem>> = HashMap::new();
         for item in ordered {
-            let askers = node.lacks.askers.lock().remove(&item).unwrap_or_default();
+            let askers = node.missing_items.askers.lock().remove(&item).unwrap_or_default();
             let recent = askers.into_iter().filter(|(_, at)| now.since(*at) < ASKED_FOR);
             for (ip, _) in recent {
                 words.entry(ip).or_default().extend(word(&node, &item, now));
@@ -126,7 +126,7 @@
     for item in items {
         let word = word(node, item, now);
         if word.is_empty() {
-            let mut askers = node.lacks.askers.lock();
+            let mut askers = node.missing_items.askers.lock();
             let boxes = askers.entry(item.clone()).or_default();
             boxes.retain(|_, at| now.since(*at) < ASKED_FOR);
             boxes.insert(ip, now);
@@ -138,9 +138,9 @@
     }
 }
 
-fn word(node: &ServingNode, item: &ModelRef, now: Moment) -> Vec<ComingItem> {
+fn word(node: &ServingNode, item: &ModelRef, now: Moment) -> Vec<PendingItem> {
     let overlay = node.overlay.lock();
-    let coming = overlay.coming(item).map(|(server, at)| ComingItem {
+    let coming = overlay.pending(item).map(|(server, at)| PendingItem {
         server: short_server(server),
         item: short_item(item),
         ms: u32::try_from(at.since(now).as_millis()).unwrap_or(u32::MAX),
@@ -149,14 +149,14 @@
 }
 
 /// Takes in what the holder of the lease said is on its way.
-pub fn take_in(node: &ServingNode, coming: &[ComingItem]) {
+pub fn apply_report(node: &ServingNode, coming: &[PendingItem]) {
     let now = node.now();
     let names = node.names.lock();
     let mut overlay = node.overlay.lock();
     for word in coming {
         if let (Some(server), Some(item)) = (names.server(word.server), names.item(word.item)) {
             let at = now + Duration::from_millis(u64::from(word.ms));
-            overlay.note(server, item, NoteKind::Coming(at), now);
+            overlay.record(server, item, EntryKind::Pending(at), now);
         }
     }
     drop(overlay);
--- a/trackfrontd/src/serving/mod.rs
+++ b/trackfrontd/src/serving/mod.rs
@@ -3,9 +3,9 @@
 //! [`node`] holds what the box knows; [`follow`] keeps it up to date from the platform,
 //! [`gossip`], [`spread`] and [`exchange`] from other boxes, which [`boxes`] lists; [`delegates`] says who
 //! speaks for a hall and [`peer_book`] who is alive; [`cold`] keeps what is sent to cold servers bounded, [`notices`] hears
-//! what servers say of themselves and [`turns`] keeps the limits that they name; [`newest`] tells
+//! what servers say of themselves and [`permits`] keeps the limits that they name; [`newest`] tells
 //! how new the configuration is; [`quota`] keeps the limits of client accounts with other boxes, and
-//! [`crashes`] holds off requests that crash servers; [`pipeline`] and [`relay`] answer requests,
+//! [`crashes`] holds off requests that crash servers; [`pipeline`] and [`response_relay`] answer requests,
 //! [`listeners`] takes them; [`lease`], [`placement`] and [`order_task`] give orders to engines;
 //! [`run`] wires it all.
 //! This folder depends on the decisions in `trackfront_core::serving` and on the traits in
@@ -17,29 +17,29 @@
 pub mod delegates;
 pub mod exchange;
 pub mod follow;
-mod giver;
 pub mod gossip;
-pub mod lacks;
 pub mod lease;
 pub mod listeners;
 pub mod log_queue;
 pub mod messages;
+pub mod missing_items;
 pub mod newest;
 pub mod node;
 pub mod notices;
-pub mod order_book;
+mod order_holder;
 pub mod order_task;
+pub mod order_tracker;
 pub mod overlay;
 pub mod packing;
 pub mod peer_book;
 pub mod peer_socket;
+pub mod permits;
 pub mod pipeline;
 pub mod placement;
 pub mod quota;
-pub mod relay;
+pub mod response_relay;
 pub mod run;
 pub mod settings;
 pub mod spread;
 pub mod suspension;
-pub mod turns;
-pub mod unusable;
+pub mod unusable_rows;
--- a/trackfrontd/src/serving/node.rs
+++ b/trackfrontd/src/serving/node.rs
@@ -32,17 +32,17 @@
 
 use super::crashes::Crashes;
 use super::exchange::Exchange;
-use super::lacks::Lacks;
+use super::missing_items::MissingItems;
 use super::newest::Newest;
-use super::notices::NoticesToTell;
+use super::notices::NoticeOutbox;
 use super::overlay::Overlay;
 use super::peer_book::PeerBook;
+use super::permits::ServerPermits;
 use super::quota::box_id;
 use super::settings::ServingSettings;
 use super::spread::Relayed;
 use super::suspension::Wakings;
-use super::turns::ServerTurns;
-use super::unusable::UnusableRows;
+use super::unusable_rows::UnusableRows;
 
 /// The part of the time that a draining server goes on for, in which it is still sent what no
 /// other can answer.
@@ -99,9 +99,9 @@
     /// What servers said of themselves in their answers.
     pub notices: Mutex<NoticeBook>,
     /// What of that other boxes are yet to be told.
-    pub notices_to_tell: NoticesToTell,
+    pub notice_outbox: NoticeOutbox,
     /// Turns at servers that named a limit.
-    pub turns: ServerTurns,
+    pub permits: ServerPermits,
     /// Prompts that engines keep.
     pub memory: Mutex<PromptMemory>,
     /// The budget of retries.
@@ -115,7 +115,7 @@
     /// The adapters that requests in progress use.
     pub adapter_use: Mutex<AdapterUse>,
     /// What is lacking, and who lacks it.
-    pub lacks: Lacks,
+    pub missing_items: MissingItems,
     /// Notes of the giver of orders.
     pub overlay: Mutex<Overlay>,
     /// The limits of client accounts.
@@ -178,15 +178,15 @@
             loads: Mutex::default(),
             cold: Mutex::default(),
             notices: Mutex::default(),
-            notices_to_tell: NoticesToTell::default(),
-            turns: ServerTurns::new(rand::random()),
+            notice_outbox: NoticeOutbox::default(),
+            permits: ServerPermits::new(rand::random()),
             memory: Mutex::default(),
             budgets: Mutex::new(budgets),
             crowding: Mutex::default(),
             returns: Mutex::default(),
             demand: Mutex::default(),
             adapter_use: Mutex::default(),
-            lacks: Lacks::default(),
+            missing_items: MissingItems::default(),
             overlay: Mutex::default(),
             quotas,
             crashes: Crashes::default(),
@@ -343,7 +343,7 @@
 
     /// Notes that an item is asked for that no engine holds, and has the holder of the lease told.
     pub fn note_lack(&self, item: &ModelRef) {
-        self.lacks.note(item);
+        self.missing_items.record(item);
         self.lacking.notify_one();
         self.tell_peers.notify_one();
     }
--- a/trackfrontd/src/serving/notices/tell.rs
+++ b/trackfrontd/src/serving/notices/broadcast.rs
@@ -38,7 +38,7 @@
 
 /// Servers on which there is something new to tell.
 #[derive(Default)]
-pub struct NoticesToTell {
+pub struct NoticeOutbox {
     waiting: Mutex<HashMap<BackendId, Telling>>,
     wake: Notify,
 }
@@ -50,7 +50,7 @@
     told: Option<Moment>,
 }
 
-impl NoticesToTell {
+impl NoticeOutbox {
     pub(super) fn add(&self, server: &BackendId, now: Moment) {
         let mut waiting = self.waiting.lock();
         let told = waiting.get(server).and_then(|telling| telling.told);
@@ -80,7 +80,7 @@
 }
 
 /// Takes in what another box was told by servers.
-fn take_in(node: &ServingNode, told: &[ToldNotice], by: &str) {
+fn apply_notices(node: &ServingNode, told: &[ToldNotice], by: &str) {
     let now = node.now();
     for notice in told {
         let Some(server) = node.names.lock().server(notice.server).cloned() else {
@@ -103,17 +103,17 @@
 }
 
 /// Tells the other boxes what is new, for as long as this one lives.
-pub async fn tell(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
+pub async fn broadcast(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     loop {
-        let woken = node.notices_to_tell.wake.notified();
-        if node.notices_to_tell.is_empty() {
+        let woken = node.notice_outbox.wake.notified();
+        if node.notice_outbox.is_empty() {
             woken.await;
         } else {
             let _ = timeout(AGAIN_AFTER / 4, woken).await;
         }
         sleep(GATHER).await;
         let now = node.now();
-        let due = node.notices_to_tell.take_due(now);
+        let due = node.notice_outbox.take_due(now);
         if due.is_empty() {
             continue;
         }
@@ -135,8 +135,13 @@
 }
 
 /// Takes in what another box tells, and hands it on to this one's part of its hall if it is to.
-pub async fn hear_told(node: &ServingNode, socket: &PeerSocket, from: Ipv4Addr, told: ToldNotices) {
-    take_in(node, &told.notices, &from.to_string());
+pub async fn handle_batch(
+    node: &ServingNode,
+    socket: &PeerSocket,
+    from: Ipv4Addr,
+    told: ToldNotices,
+) {
+    apply_notices(node, &told.notices, &from.to_string());
     if told.hand_on {
         let part = node.peers.lock().own_part(node.now());
         send(socket, &told.notices, false, &part).await;
@@ -169,7 +174,7 @@
 }
 
 /// Returns what is known of servers, for a box that starts; `None` if this box knows no servers yet.
-pub fn copy(node: &ServingNode) -> Option<Vec<ToldNotice>> {
+pub fn snapshot(node: &ServingNode) -> Option<Vec<ToldNotice>> {
     if !node.knows_servers() {
         return None;
     }
@@ -182,7 +187,7 @@
 }
 
 /// Asks the others for what they know. Of what none of them knows the servers' next answers tell.
-pub async fn load(node: Arc<ServingNode>) {
+pub async fn fetch_from_peers(node: Arc<ServingNode>) {
     boxes::wait_for_list(&node).await;
     for _ in 0..ROUNDS {
         let others = boxes::likely_up(&node);
@@ -190,7 +195,7 @@
         if node.knows_servers()
             && let Some(told) = exchange::fetch_notices(&node, &others).await
         {
-            return take_in(&node, &told, "a copy of another box");
+            return apply_notices(&node, &told, "a copy of another box");
         }
         sleep(ASK_AGAIN).await;
     }
--- a/trackfrontd/src/serving/notices/mod.rs
+++ b/trackfrontd/src/serving/notices/mod.rs
@@ -1,11 +1,11 @@
-//! Hears what servers say of themselves in their answers; [`tell`](mod@tell) has the other boxes know.
+//! Hears what servers say of themselves in their answers; [`broadcast`](mod@broadcast) has the other boxes know.
 
-mod tell;
+mod broadcast;
 
 use std::sync::Arc;
 use std::time::Duration;
 
-pub use tell::{NoticesToTell, copy, hear_told, load, tell};
+pub use broadcast::{NoticeOutbox, broadcast, fetch_from_peers, handle_batch, snapshot};
 use trackfront_adapters::interface::ServerHead;
 use trackfront_adapters::serving_metrics::KindLabel;
 use trackfront_core::ids::BackendId;
@@ -28,7 +28,7 @@
 
 /// Takes in what the head of an answer from a server's address says, unless another run of the server wrote it. `by` is
 /// the request that it came to.
-pub fn hear(
+pub fn observe_head(
     node: &ServingNode,
     server: &Arc<KnownServer>,
     head: &ServerHead,
@@ -49,13 +49,13 @@
     for learned in learned {
         note(node, id, learned, by);
         if is_for_all(learned) {
-            node.notices_to_tell.add(id, now);
+            node.notice_outbox.add(id, now);
         }
     }
     if let Some(cold_for) = head.cold_for
         && note_cold(node, id, cold_for, by)
     {
-        node.notices_to_tell.add(id, now);
+        node.notice_outbox.add(id, now);
     }
 }
 
--- a/trackfrontd/src/serving/giver.rs
+++ b/trackfrontd/src/serving/order_holder.rs
@@ -14,10 +14,10 @@
 
 /// What was last heard of who gives orders. The later of two words holds, however they came.
 #[derive(Debug, Default)]
-pub struct LastGiver {
+pub struct KnownHolder {
     last: Option<Word>,
     /// What it said of its right, by way of others.
-    relayed_right: Option<HolderWord>,
+    relayed_announcement: Option<HolderWord>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -29,9 +29,9 @@
     is_relayed: bool,
 }
 
-impl LastGiver {
+impl KnownHolder {
     /// Notes what a box said to this one.
-    pub fn heard(&mut self, ip: Ipv4Addr, gives: bool, now: Moment) {
+    pub fn receive(&mut self, ip: Ipv4Addr, gives: bool, now: Moment) {
         let was_giver = self.last.is_some_and(|last| last.ip == ip);
         if gives || was_giver {
             self.last = Some(Word { ip, gives, at: now, is_relayed: false });
@@ -39,10 +39,11 @@
     }
 
     /// Notes what another box, not the giver itself, told `me` of it.
-    pub fn told(&mut self, told: &ToldGiver, me: Ipv4Addr, now: Moment) {
+    pub fn apply_report(&mut self, told: &ToldGiver, me: Ipv4Addr, now: Moment) {
         let right = told.right.map(|right| right.word(now));
-        let known = self.relayed_right.map_or(0, |right| right.version);
-        self.relayed_right = right.filter(|right| right.version > known).or(self.relayed_right);
+        let known = self.relayed_announcement.map_or(0, |right| right.version);
+        self.relayed_announcement =
+            right.filter(|right| right.version > known).or(self.relayed_announcement);
         let at = Moment(now.0.saturating_sub(Duration::from_millis(u64::from(told.age_ms))));
         let is_newer = self.last.is_none_or(|last| at > last.at);
         if told.ip != me && is_newer {
@@ -51,13 +52,13 @@
     }
 
     /// Returns what other boxes are told; `right` is what the giver said of its right to this box itself.
-    pub fn to_tell(
+    pub fn report(
         &self,
         right: impl Fn(Ipv4Addr) -> Option<HolderWord>,
         now: Moment,
     ) -> Option<ToldGiver> {
         let last = self.last.filter(|last| now.since(last.at) < RELAYED_ALIVE_FOR)?;
-        let rights = right(last.ip).into_iter().chain(self.relayed_right);
+        let rights = right(last.ip).into_iter().chain(self.relayed_announcement);
         let right = rights.max_by_key(|right| right.version);
         let right = right.and_then(|right| ToldRight::of(right, now));
         let age_ms = u32::try_from(now.since(last.at).as_millis()).unwrap_or(u32::MAX);
@@ -65,14 +66,14 @@
     }
 
     /// Returns the box that gives orders, if it lives by all that was heard.
-    pub fn alive(&self, now: Moment) -> Option<Ipv4Addr> {
+    pub fn live_holder(&self, now: Moment) -> Option<Ipv4Addr> {
         let last = self.last.filter(|last| last.gives)?;
         let lives_for = if last.is_relayed { RELAYED_ALIVE_FOR } else { ALIVE_FOR };
         (now.since(last.at) < lives_for).then_some(last.ip)
     }
 
     /// Returns what was told of the right of who gives orders by way of others.
-    pub fn relayed_right(&self) -> Option<HolderWord> {
-        self.relayed_right
+    pub fn relayed_announcement(&self) -> Option<HolderWord> {
+        self.relayed_announcement
     }
 }
--- a/trackfrontd/src/serving/order_task.rs
+++ b/trackfrontd/src/serving/order_task.rs
@@ -21,13 +21,13 @@
 use trackfront_core::units::Moment;
 
 use super::crashes;
-use super::lacks;
-use super::lease::OrderRight;
+use super::lease::OrderFence;
+use super::missing_items;
 use super::node::ServingNode;
 use super::notices;
-use super::order_book::OrderBook;
-use super::overlay::NoteKind;
-use super::turns;
+use super::order_tracker::OrderTracker;
+use super::overlay::EntryKind;
+use super::permits;
 
 /// How long nodes are given to hear that a model will leave.
 const WITHDRAW_TIME: Duration = Duration::from_millis(150);
@@ -93,9 +93,9 @@
     /// The node.
     pub node: Arc<ServingNode>,
     /// The right to give orders.
-    pub right: Arc<OrderRight>,
+    pub right: Arc<OrderFence>,
     /// What is under way at all engines.
-    pub book: Arc<Mutex<OrderBook>>,
+    pub book: Arc<Mutex<OrderTracker>>,
     /// The engines' figures.
     pub spec: EngineSpec,
     /// The engine.
@@ -131,7 +131,7 @@
         let leaving = self.proposals.iter().filter(|one| one.operation == Operation::Unload);
         let leaving: Vec<&Proposal> = leaving.collect();
         if !leaving.is_empty() {
-            self.note(&leaving, NoteKind::Withdrawn);
+            self.note(&leaving, EntryKind::Withdrawn);
             let of_model = leaving.iter().any(|one| one.item.adapter.is_none());
             sleep(if of_model { WITHDRAW_TIME } else { WITHDRAW_ADAPTER_TIME }).await;
         }
@@ -152,11 +152,11 @@
     }
 
     /// Tells all nodes what happens to items.
-    fn note(&self, proposals: &[&Proposal], kind: NoteKind) {
+    fn note(&self, proposals: &[&Proposal], kind: EntryKind) {
         let now = self.node.now();
         let mut overlay = self.node.overlay.lock();
         for proposal in proposals {
-            overlay.note(self.id(), &proposal.item, kind, now);
+            overlay.record(self.id(), &proposal.item, kind, now);
         }
         drop(overlay);
         self.node.servers_changed.notify_waiters();
@@ -188,7 +188,7 @@
             let answer = self.send(proposal, &report).await;
             self.log(proposal, "order given", report.sequence, answer.name());
             if answer == OrderAnswer::Unknown {
-                self.book.lock().note_unanswered(&self.server.entry, self.node.now());
+                self.book.lock().record_unanswered(&self.server.entry, self.node.now());
             }
             self.node.metrics.orders.get_or_create(&KindLabel { kind: answer.name() }).inc();
             if !matches!(answer, OrderAnswer::Taken | OrderAnswer::AlreadyDone) {
@@ -219,7 +219,7 @@
             Some(_) => ADAPTER_TIME,
             None => load_time + MODEL_POLL,
         };
-        lacks::expect(&self.node, self.id(), item, self.node.now() + wait);
+        missing_items::expect(&self.node, self.id(), item, self.node.now() + wait);
     }
 
     /// Takes a load off the weight store's rate, if it comes from there.
@@ -338,7 +338,7 @@
         let loads = taken.iter().copied().filter(|one| one.operation == Operation::Load);
         let loads: Vec<&Proposal> = loads.collect();
         if !loads.is_empty() {
-            self.note(&loads, NoteKind::Added);
+            self.note(&loads, EntryKind::Added);
         }
     }
 
@@ -363,7 +363,7 @@
         let added = done.into_iter().filter(|one| one.operation == Operation::Load);
         let added: Vec<&Proposal> = added.collect();
         if !added.is_empty() {
-            self.note(&added, NoteKind::Added);
+            self.note(&added, EntryKind::Added);
         }
     }
 
@@ -389,9 +389,9 @@
         if self.node.notices.lock().backs_off_until(self.id(), now).is_some() {
             return None;
         }
-        let turn = turns::take(&self.node, self.id(), TURN_PATIENCE).await.ok()?;
+        let turn = permits::acquire(&self.node, self.id(), TURN_PATIENCE).await.ok()?;
         if let Some(turn) = turn {
-            turns::comes(&self.node, turn).await;
+            permits::wait_until_valid(&self.node, turn).await;
         }
         Some(CallRight { turn })
     }
@@ -405,7 +405,7 @@
     fn hear(&self, answer: &UpstreamAnswer, sent: Moment) {
         let head = self.node.ports.servers.read_head(&answer.head);
         let source = Source { sent, is_answer: false };
-        notices::hear(&self.node, &self.server, &head, source, "an order or report");
+        notices::observe_head(&self.node, &self.server, &head, source, "an order or report");
     }
 
     /// Reads the engine's report and keeps it for the next plan.
@@ -428,7 +428,9 @@
                     UpstreamError::NotSent(_) => {
                         self.node.loads.lock().unreachable(&server.id, self.node.now());
                     }
-                    UpstreamError::ConnectionRefused(_) => crashes::refused(&self.node, &server.id),
+                    UpstreamError::ConnectionRefused(_) => {
+                        crashes::connection_refused(&self.node, &server.id)
+                    }
                     UpstreamError::Lost(_) | UpstreamError::Withheld => {}
                 }
                 return None;
--- a/trackfrontd/src/serving/order_book.rs
+++ b/trackfrontd/src/serving/order_tracker.rs
@@ -30,7 +30,7 @@
 const MAY_COME_FOR: Duration = Duration::from_secs(15);
 
 /// What is under way at all engines.
-pub struct OrderBook {
+pub struct OrderTracker {
     /// By engine.
     pub engines: HashMap<BackendId, EngineOrders>,
     /// The rate of loads from the weight store.
@@ -39,14 +39,14 @@
     unanswered: HashMap<ServerKey, (BackendId, Moment)>,
 }
 
-impl OrderBook {
+impl OrderTracker {
     /// Makes an empty one.
     pub fn new(pacer: LoadPacer) -> Self {
         Self { engines: HashMap::new(), pacer, unanswered: HashMap::new() }
     }
 
     /// Notes that no answer came to an order.
-    pub fn note_unanswered(&mut self, server: &ServerEntry, now: Moment) {
+    pub fn record_unanswered(&mut self, server: &ServerEntry, now: Moment) {
         let until = now + MAY_COME_FOR;
         self.unanswered.insert(server.key.clone(), (server.id.clone(), until));
     }
@@ -54,7 +54,7 @@
     /// Returns whether an order that was meant for an earlier run of a server may still be carried out by this one.
     /// It names a count of orders taken, which starts anew; with no order of ours it stays at 0, where what may
     /// come finds an empty engine, whose memory any load fits.
-    pub fn may_get_earlier_orders(&self, server: &ServerEntry, now: Moment) -> bool {
+    pub fn may_receive_stale_order(&self, server: &ServerEntry, now: Moment) -> bool {
         let unanswered = self.unanswered.get(&server.key);
         unanswered.is_some_and(|(run, until)| *run != server.id && now < *until)
     }
--- a/trackfrontd/src/serving/overlay.rs
+++ b/trackfrontd/src/serving/overlay.rs
@@ -21,19 +21,19 @@
 
 /// What a note says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoteKind {
+pub enum EntryKind {
     /// The item is about to be unloaded.
     Withdrawn,
     /// The item was loaded.
     Added,
     /// The item should be there at this moment. An adapter is used from then on; whether a model has
     /// come is told.
-    Coming(Moment),
+    Pending(Moment),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Note {
-    kind: NoteKind,
+    kind: EntryKind,
     until: Moment,
 }
 
@@ -45,10 +45,10 @@
 
 impl Overlay {
     /// Takes a note.
-    pub fn note(&mut self, server: &BackendId, item: &ModelRef, kind: NoteKind, now: Moment) {
+    pub fn record(&mut self, server: &BackendId, item: &ModelRef, kind: EntryKind, now: Moment) {
         let from = match kind {
-            NoteKind::Coming(at) => at.max(now),
-            NoteKind::Withdrawn | NoteKind::Added => now,
+            EntryKind::Pending(at) => at.max(now),
+            EntryKind::Withdrawn | EntryKind::Added => now,
         };
         let note = Note { kind, until: from + NOTES_FOR };
         self.notes.entry(server.clone()).or_default().insert(item.clone(), note);
@@ -70,44 +70,44 @@
     }
 
     /// Returns what was added and withdrawn.
-    pub fn all(&self) -> impl Iterator<Item = (&BackendId, &ModelRef, NoteKind)> {
+    pub fn all(&self) -> impl Iterator<Item = (&BackendId, &ModelRef, EntryKind)> {
         let all = self.notes.iter().flat_map(|(server, notes)| {
             notes.iter().map(move |(item, note)| (server, item, note.kind))
         });
-        all.filter(|(_, _, kind)| !matches!(kind, NoteKind::Coming(_)))
+        all.filter(|(_, _, kind)| !matches!(kind, EntryKind::Pending(_)))
     }
 
     /// Returns the engines to which the model of an item was added, or should have been, before their rows say so.
     pub fn added_to<'a>(&'a self, item: &'a ModelRef) -> impl Iterator<Item = &'a BackendId> {
         let is_added = |(of, note): (&ModelRef, &Note)| {
-            of.model == item.model && note.kind != NoteKind::Withdrawn
+            of.model == item.model && note.kind != EntryKind::Withdrawn
         };
         let engines = self.notes.iter();
         engines.filter(move |(_, notes)| notes.iter().any(is_added)).map(|(server, _)| server)
     }
 
     /// Returns when an item should be there, on the engine that has it first.
-    pub fn comes_at(&self, item: &ModelRef) -> Option<Moment> {
+    pub fn expected_at(&self, item: &ModelRef) -> Option<Moment> {
         let notes = self.notes.values().filter_map(|notes| notes.get(item));
         let coming = notes.filter_map(|note| match note.kind {
-            NoteKind::Coming(at) => Some(at),
-            NoteKind::Withdrawn | NoteKind::Added => None,
+            EntryKind::Pending(at) => Some(at),
+            EntryKind::Withdrawn | EntryKind::Added => None,
         });
         coming.min()
     }
 
     /// Returns the engines on which an item should be there, and when.
-    pub fn coming<'a>(
+    pub fn pending<'a>(
         &'a self,
         item: &'a ModelRef,
     ) -> impl Iterator<Item = (&'a BackendId, Moment)> {
         self.notes.iter().filter_map(|(server, notes)| match notes.get(item)?.kind {
-            NoteKind::Coming(at) => Some((server, at)),
-            NoteKind::Withdrawn | NoteKind::Added => None,
+            EntryKind::Pending(at) => Some((server, at)),
+            EntryKind::Withdrawn | EntryKind::Added => None,
         })
     }
 
-    fn kind(&self, server: &BackendId, item: &ModelRef) -> Option<NoteKind> {
+    fn kind(&self, server: &BackendId, item: &ModelRef) -> Option<EntryKind> {
         Some(self.notes.get(server)?.get(item)?.kind)
     }
 }
@@ -131,14 +131,14 @@
 
 impl ServerView for NodeView<'_> {
     fn is_withdrawn(&self, server: &BackendId, item: &ModelRef) -> bool {
-        self.overlay.kind(server, item) == Some(NoteKind::Withdrawn)
+        self.overlay.kind(server, item) == Some(EntryKind::Withdrawn)
     }
 
     fn is_added(&self, server: &BackendId, item: &ModelRef) -> bool {
         match self.overlay.kind(server, item) {
-            Some(NoteKind::Added) => true,
-            Some(NoteKind::Coming(at)) => item.adapter.is_some() && at <= self.now,
-            Some(NoteKind::Withdrawn) | None => false,
+            Some(EntryKind::Added) => true,
+            Some(EntryKind::Pending(at)) => item.adapter.is_some() && at <= self.now,
+            Some(EntryKind::Withdrawn) | None => false,
         }
     }
 
--- a/trackfrontd/src/serving/peer_book.rs
+++ b/trackfrontd/src/serving/peer_book.rs
@@ -10,8 +10,8 @@
 use trackfront_core::units::Moment;
 
 use super::delegates::{Halls, ListedBox};
-use super::giver::LastGiver;
 use super::messages::{Digest, ToldGiver};
+use super::order_holder::KnownHolder;
 
 /// Every how many rounds boxes of other halls are told at the least, where there are many: bytes between halls are
 /// dear.
@@ -133,7 +133,7 @@
     halls: Halls,
     /// When it was last looked who speaks for which hall.
     elected_at: Moment,
-    giver: LastGiver,
+    giver: KnownHolder,
 }
 
 impl PeerBook {
@@ -142,7 +142,7 @@
         let mut halls = Halls::default();
         halls.put(me, None);
         let (peers, elected_at) = (BTreeMap::new(), Moment::default());
-        Self { me, peers, halls, elected_at, giver: LastGiver::default() }
+        Self { me, peers, halls, elected_at, giver: KnownHolder::default() }
     }
 
     /// Learns of a box from a list. What a box says of itself goes before that.
@@ -181,15 +181,15 @@
         peer.is_missing = false;
         peer.store_lost = digest.store_lost;
         peer.word = digest.right.map(|right| right.word(now)).or(peer.word);
-        self.giver.heard(ip, digest.gives_orders, now);
+        self.giver.receive(ip, digest.gives_orders, now);
         if let Some(told) = &digest.giver {
-            self.giver.told(told, self.me.ip, now);
+            self.giver.apply_report(told, self.me.ip, now);
         }
     }
 
     /// Returns what this box tells others of who gives orders.
     pub fn told_giver(&self, now: Moment) -> Option<ToldGiver> {
-        self.giver.to_tell(|ip| self.peers.get(&ip)?.word, now)
+        self.giver.report(|ip| self.peers.get(&ip)?.word, now)
     }
 
     /// Looks anew who speaks for which hall. To be called once in a round, before the others are told.
@@ -425,7 +425,7 @@
     /// one box alone.
     pub fn holders_word(&self, version: u64) -> Option<HolderWord> {
         let words = self.peers.values().filter_map(|peer| peer.word);
-        let words = words.chain(self.giver.relayed_right());
+        let words = words.chain(self.giver.relayed_announcement());
         words.into_iter().find(|word| word.version == version)
     }
 
@@ -502,6 +502,6 @@
 
     /// Returns the box that says that it gives orders.
     pub fn giver(&self, now: Moment) -> Option<Ipv4Addr> {
-        self.giver.alive(now)
+        self.giver.live_holder(now)
     }
 }
--- a/trackfrontd/src/serving/turns.rs
+++ b/trackfrontd/src/serving/permits.rs
@@ -23,7 +23,7 @@
 const ANSWER_TIME: Duration = Duration::from_millis(120);
 
 /// Turns at servers that named a limit, as one box gives and takes them.
-pub struct ServerTurns {
+pub struct ServerPermits {
     given: Mutex<Turns>,
     /// When this box may ask for turns.
     pub gates: Mutex<Gates>,
@@ -33,7 +33,7 @@
     wake: Notify,
 }
 
-impl ServerTurns {
+impl ServerPermits {
     /// Makes the turns of a box that has asked for none. Numbers of questions begin at `number`, which should differ
     /// from one start of a box to the next.
     pub fn new(number: u32) -> Self {
@@ -50,14 +50,14 @@
 
 /// A server had no turn in time.
 #[derive(Clone, Copy, Debug)]
-pub struct NoTurn {
+pub struct NoPermit {
     /// The limit that it named, in requests a second.
     pub per_s: f64,
 }
 
 /// A question that is open until this is dropped.
 struct Open<'a> {
-    turns: &'a ServerTurns,
+    turns: &'a ServerPermits,
     number: u32,
 }
 
@@ -69,20 +69,20 @@
 
 /// Takes a turn at a server if that has named a limit; fails if none comes within `patience`, so that nothing is sent
 /// there for a while.
-pub async fn take(
+pub async fn acquire(
     node: &ServingNode,
     server: &BackendId,
     patience: Duration,
-) -> Result<Option<TakenTurn>, NoTurn> {
+) -> Result<Option<TakenTurn>, NoPermit> {
     let Some(per_s) = node.notices.lock().per_s(server) else {
         return Ok(None);
     };
     let from = ask(node, server, per_s, patience).await;
-    from.map(|from| Some(TakenTurn { from })).ok_or(NoTurn { per_s })
+    from.map(|from| Some(TakenTurn { from })).ok_or(NoPermit { per_s })
 }
 
 /// Waits until a turn may be used.
-pub async fn comes(node: &ServingNode, turn: TakenTurn) {
+pub async fn wait_until_valid(node: &ServingNode, turn: TakenTurn) {
     sleep(turn.from.since(node.now())).await;
 }
 
@@ -98,11 +98,11 @@
     // With a part of the boxes this one would take itself for the keeper.
     let keeper = node.knows_nodes().then(|| keeper(node, place, asked)).flatten();
     let Some(keeper) = keeper else {
-        node.turns.gates.lock().nobody_answers(server, asked);
+        node.permits.gates.lock().nobody_answers(server, asked);
         return None;
     };
     let ask = AskTurn {
-        number: node.turns.last_number.fetch_add(1, Ordering::Relaxed),
+        number: node.permits.last_number.fetch_add(1, Ordering::Relaxed),
         server: place,
         per_s,
         patience_ms: u32::try_from(patience.as_millis()).unwrap_or(u32::MAX),
@@ -117,11 +117,11 @@
     match turn {
         Some(Turn::In(wait)) => Some(now + wait),
         Some(Turn::NotBefore(wait)) => {
-            node.turns.gates.lock().refused(server, wait, now);
+            node.permits.gates.lock().refused(server, wait, now);
             None
         }
         None => {
-            node.turns.gates.lock().is_silent(keeper.id, now);
+            node.permits.gates.lock().is_silent(keeper.id, now);
             let keeper = Ipv4Addr::from_bits(keeper.id.0);
             log::info!(server:%, keeper:%, is_stand_in = ask.is_stand_in; "no answer for a turn");
             None
@@ -133,26 +133,26 @@
     let me = node.settings.load().node.ip;
     let others = node.peers.lock().reachable(now);
     let boxes = others.into_iter().chain([me]).map(box_id);
-    node.turns.gates.lock().keeper(place, boxes, now)
+    node.permits.gates.lock().keeper(place, boxes, now)
 }
 
 /// Asks another box; `None` if it does not answer in time.
 async fn ask_box(node: &ServingNode, keeper: BoxId, ask: AskTurn) -> Option<Turn> {
     let (tell, told) = oneshot::channel();
-    node.turns.open.lock().insert(ask.number, tell);
-    let open = Open { turns: &node.turns, number: ask.number };
-    node.turns.to_ask.lock().push((Ipv4Addr::from_bits(keeper.0), ask));
-    node.turns.wake.notify_one();
+    node.permits.open.lock().insert(ask.number, tell);
+    let open = Open { turns: &node.permits, number: ask.number };
+    node.permits.to_ask.lock().push((Ipv4Addr::from_bits(keeper.0), ask));
+    node.permits.wake.notify_one();
     let turn = timeout(ANSWER_TIME, told).await;
     drop(open);
     turn.ok()?.ok()
 }
 
 /// Sends the questions of this box, for as long as it lives.
-pub async fn carry(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
+pub async fn send_requests(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     loop {
-        node.turns.wake.notified().await;
-        let asks = std::mem::take(&mut *node.turns.to_ask.lock());
+        node.permits.wake.notified().await;
+        let asks = std::mem::take(&mut *node.permits.to_ask.lock());
         for (to, ask) in asks {
             socket.send_now(&Message::AskTurn(ask), to);
         }
@@ -183,12 +183,12 @@
     };
     let per_s = kept_rate(known.unwrap_or(ask.per_s), reached, all, ask.is_stand_in);
     let patience = Duration::from_millis(u64::from(ask.patience_ms));
-    node.turns.given.lock().ask(ask.server, per_s, patience, now)
+    node.permits.given.lock().ask(ask.server, per_s, patience, now)
 }
 
 /// Takes in the answer of a keeper. One that nobody waits for any more is a turn that lapses.
-pub fn take_in(node: &ServingNode, told: ToldTurn) {
-    let Some(tell) = node.turns.open.lock().remove(&told.number) else {
+pub fn handle_reply(node: &ServingNode, told: ToldTurn) {
+    let Some(tell) = node.permits.open.lock().remove(&told.number) else {
         return;
     };
     let wait = Duration::from_millis(u64::from(told.wait_ms));
@@ -199,6 +199,6 @@
 
 /// Drops what is over.
 pub fn sweep(node: &ServingNode, now: Moment) {
-    node.turns.given.lock().forget_old(now);
-    node.turns.gates.lock().forget_old(now);
+    node.permits.given.lock().forget_old(now);
+    node.permits.gates.lock().forget_old(now);
 }
--- a/trackfrontd/src/serving/pipeline/attempt.rs
+++ b/trackfrontd/src/serving/pipeline/attempt.rs
@@ -23,7 +23,7 @@
 
 use super::Job;
 use crate::serving::node::ServingNode;
-use crate::serving::overlay::NoteKind;
+use crate::serving::overlay::EntryKind;
 use crate::serving::spread::FeedKind;
 use crate::serving::{cold, crashes, notices};
 
@@ -68,7 +68,7 @@
     /// Notes that the connection to the server broke under the request.
     pub fn broke(&mut self) {
         self.end(Ending::Failed);
-        crashes::broke(&self.node, &self.request, self.fingerprint, &self.server);
+        crashes::connection_broke(&self.node, &self.request, self.fingerprint, &self.server);
     }
 
     /// Notes that the server's answer came to its end, whatever it says.
@@ -76,7 +76,7 @@
         self.end(ending);
         self.node.crashes.lives(&self.server.entry.id, self.node.now());
         if self.has_own_end {
-            crashes::answered(&self.node, self.fingerprint);
+            crashes::request_completed(&self.node, self.fingerprint);
         }
     }
 
@@ -165,7 +165,7 @@
             }
             Ok(Err(UpstreamError::ConnectionRefused(cause))) => {
                 held.end(Ending::Unreachable);
-                crashes::refused(node, &server.id);
+                crashes::connection_refused(node, &server.id);
                 log::info!(request:% = self.info.id, server:% = server.id, cause; "not sent");
                 ("refused_connection", Sent::NotThere)
             }
@@ -212,7 +212,7 @@
         let is_evacuated = self.node.evacuations.lock().is_evacuated(&server.entry.zone);
         !is_evacuated
             && self.node.notices.lock().lets_in(&server.entry.id, turn, now)
-            && cold::take(&self.node, self.cold_start(), server, now)
+            && cold::reserve(&self.node, self.cold_start(), server, now)
     }
 
     /// Returns how long a kept connection may have been unused for this request.
@@ -249,7 +249,7 @@
             None => answer.is_first,
         };
         let source = Source { sent: choice.at, is_answer: is_ours && head.signed };
-        notices::hear(node, &choice.server, &head, source, self.info.id.as_str());
+        notices::observe_head(node, &choice.server, &head, source, self.info.id.as_str());
         if !is_ours {
             held.end(Ending::Failed);
             let other = head.request.as_ref().map_or("", RequestId::as_str);
@@ -294,7 +294,7 @@
             return;
         };
         let (server, now) = (&choice.server.entry.id, self.node.now());
-        self.node.overlay.lock().note(server, item, NoteKind::Withdrawn, now);
+        self.node.overlay.lock().record(server, item, EntryKind::Withdrawn, now);
     }
 
     fn hold(&self, choice: &Choice) -> Held {
--- a/trackfrontd/src/serving/pipeline/choice.rs
+++ b/trackfrontd/src/serving/pipeline/choice.rs
@@ -48,7 +48,7 @@
         let (start, terms) = (self.cold_start(), settings.promises.cold());
         let book = node.cold.lock();
         let cold = ColdView { start, terms, book: &book, evacuations: &evacuations };
-        let (notices, gates) = (node.notices.lock(), node.turns.gates.lock());
+        let (notices, gates) = (node.notices.lock(), node.permits.gates.lock());
         let view = NodeView {
             overlay: &overlay,
             pool: &node.pool,
--- a/trackfrontd/src/serving/pipeline/hold.rs
+++ b/trackfrontd/src/serving/pipeline/hold.rs
@@ -13,7 +13,7 @@
 use trackfront_core::serving::request::{ModelRef, Refusal};
 use trackfront_core::units::Moment;
 
-use super::turn::Chosen;
+use super::permit::Chosen;
 use super::{Job, Tries};
 
 /// How long after the moment that was told for it a load is still waited for: engines are asked each
@@ -102,14 +102,14 @@
         let Some(item) = self.lacking(lack) else {
             return Wait::Nothing;
         };
-        let comes_at = self.node.overlay.lock().comes_at(&item);
+        let comes_at = self.node.overlay.lock().expected_at(&item);
         let (there, until) = match comes_at {
             Some(at) => {
                 let there = self.present() + at.since(self.node.now());
                 (there, there + COMING_SLACK)
             }
             None if lack == NoChoice::NoAdapter => {
-                let until = self.arrived + self.node.lacks.adapter_wait();
+                let until = self.arrived + self.node.missing_items.adapter_wait();
                 (until, until)
             }
             None => {
@@ -146,7 +146,7 @@
         };
         let took = began.elapsed();
         if lack == NoChoice::NoAdapter {
-            self.node.lacks.note_adapter_wait(took);
+            self.node.missing_items.record_adapter_wait(took);
         }
         let kind = if came { "came" } else { "did not come" };
         self.node.metrics.held.get_or_create(&KindLabel { kind }).observe(took.as_secs_f64());
--- a/trackfrontd/src/serving/pipeline/mod.rs
+++ b/trackfrontd/src/serving/pipeline/mod.rs
@@ -6,13 +6,13 @@
 mod admission;
 mod attempt;
 mod choice;
-mod come_back;
 mod end_log;
 mod hold;
 mod key;
 mod limit;
+mod permit;
 mod plain;
-mod turn;
+mod retry_after;
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -25,6 +25,8 @@
 use hyper::body::Incoming;
 use limit::Taken;
 pub use limit::Units;
+pub use permit::Chosen;
+use permit::{MAX_TURNS_REFUSED, log_no_turn};
 pub use plain::{Broken, PlainAnswer};
 use tokio::time::Instant;
 use trackfront_adapters::http_server::{Abort, Body, ReadBodyError, read_body};
@@ -37,12 +39,10 @@
 use trackfront_core::serving::fingerprint::Fingerprint;
 use trackfront_core::serving::request::{ModelRef, Refusal, RequestInfo};
 use trackfront_core::units::Moment;
-pub use turn::Chosen;
-use turn::{MAX_TURNS_REFUSED, log_no_turn};
 
 use super::crashes;
 use super::node::ServingNode;
-use super::relay;
+use super::response_relay;
 
 /// How long before the client's deadline the node answers by itself.
 const ANSWER_MARGIN: Duration = Duration::from_millis(40);
@@ -276,14 +276,14 @@
         match sent {
             Sent::Answer(answer, held) => {
                 tries.sends += 1;
-                match relay::relay(&job, *answer, held, &tries).await {
-                    relay::Relayed::Answer(response, is_stream) => {
-                        let mut response = relay::with_end(response, is_stream, end);
+                match response_relay::relay(&job, *answer, held, &tries).await {
+                    response_relay::Relayed::Answer(response, is_stream) => {
+                        let mut response = response_relay::with_end(response, is_stream, end);
                         close_if_stopping(&node, &mut response);
                         return response;
                     }
-                    relay::Relayed::Failure(answer) => tries.failure = Some(answer),
-                    relay::Relayed::Broken(cause) => tries.may_have_run = Some(cause),
+                    response_relay::Relayed::Failure(answer) => tries.failure = Some(answer),
+                    response_relay::Relayed::Broken(cause) => tries.may_have_run = Some(cause),
                 }
             }
             Sent::Unreachable => tries.unreachable += 1,
--- a/trackfrontd/src/serving/pipeline/turn.rs
+++ b/trackfrontd/src/serving/pipeline/permit.rs
@@ -7,7 +7,7 @@
 use trackfront_core::serving::turns::TakenTurn;
 
 use super::{Job, Tries};
-use crate::serving::turns::{self, NoTurn};
+use crate::serving::permits::{self, NoPermit};
 
 /// How many servers are asked in vain for a turn until a request is refused.
 pub(super) const MAX_TURNS_REFUSED: u32 = 4;
@@ -24,7 +24,7 @@
 }
 
 /// Logs that the server that was chosen had no turn.
-pub(super) fn log_no_turn(job: &Job, choice: &Choice, no_turn: NoTurn) {
+pub(super) fn log_no_turn(job: &Job, choice: &Choice, no_turn: NoPermit) {
     let (request, server, per_s) = (&job.info.id, &choice.server.entry.id, no_turn.per_s);
     log::info!(request:%, server:%, per_s; "no turn at server");
 }
@@ -35,8 +35,8 @@
         &self,
         choice: &Choice,
         patience: Duration,
-    ) -> Result<Option<TakenTurn>, NoTurn> {
-        turns::take(&self.node, &choice.server.entry.id, patience).await
+    ) -> Result<Option<TakenTurn>, NoPermit> {
+        permits::acquire(&self.node, &choice.server.entry.id, patience).await
     }
 
     /// Chooses a server that is not in `tried`, with a turn there if one is needed; `None` if there is none now.
@@ -68,7 +68,7 @@
         }
         let turn = self.take_turn(&choice, patience).await.ok()?;
         if let Some(turn) = turn {
-            turns::comes(&self.node, turn).await;
+            permits::wait_until_valid(&self.node, turn).await;
         }
         // It is as good as chosen now, if it is still there.
         let server = self.node.directory.lock().get(&choice.server.entry.id).cloned()?;
--- a/trackfrontd/src/serving/pipeline/come_back.rs
+++ b/trackfrontd/src/serving/pipeline/retry_after.rs
@@ -51,7 +51,7 @@
     /// Returns in what time the model should be there, if its load is under way.
     fn model_comes_in(&self) -> Option<Duration> {
         let item = self.lacking(NoChoice::NoModel)?;
-        let at = self.node.overlay.lock().comes_at(&item)?;
+        let at = self.node.overlay.lock().expected_at(&item)?;
         Some(at.since(self.node.now()).max(LEAST_RETRY))
     }
 
--- a/trackfrontd/src/serving/placement.rs
+++ b/trackfrontd/src/serving/placement.rs
@@ -21,11 +21,11 @@
 use trackfront_core::units::Moment;
 
 use super::gossip::Giving;
-use super::lacks;
-use super::lease::{OrderLease, OrderRight};
+use super::lease::{OrderFence, OrderLease};
+use super::missing_items;
 use super::node::ServingNode;
-use super::order_book::{OrderBook, view};
 use super::order_task::OrderTask;
+use super::order_tracker::{OrderTracker, view};
 
 /// How often a plan is made.
 const ROUND: Duration = Duration::from_millis(250);
@@ -57,8 +57,8 @@
 pub struct Placement {
     node: Arc<ServingNode>,
     lease: OrderLease,
-    right: Arc<OrderRight>,
-    book: Arc<Mutex<OrderBook>>,
+    right: Arc<OrderFence>,
+    book: Arc<Mutex<OrderTracker>>,
     tasks: JoinSet<()>,
     summed_up_at: Moment,
     /// How long the last plan of all services took.
@@ -68,10 +68,10 @@
 impl Placement {
     /// Makes a giver that holds no lease.
     pub fn new(node: Arc<ServingNode>, giving: Arc<Giving>) -> Self {
-        let right = Arc::new(OrderRight::default());
+        let right = Arc::new(OrderFence::default());
         let lease = OrderLease::new(node.clone(), right.clone(), giving);
         let terms = node.settings.load().promises.loads();
-        let book = OrderBook::new(LoadPacer::new(terms, node.now()));
+        let book = OrderTracker::new(LoadPacer::new(terms, node.now()));
         let (book, tasks) = (Arc::new(Mutex::new(book)), JoinSet::new());
         let (summed_up_at, planned_for) = (Moment::default(), Duration::ZERO);
         Self { node, lease, right, book, tasks, summed_up_at, planned_for }
@@ -89,7 +89,7 @@
             self.round().await;
         }
         self.tasks.abort_all();
-        self.lease.give_up().await;
+        self.lease.release().await;
     }
 
     async fn round(&mut self) {
@@ -107,8 +107,8 @@
         if self.node.is_alone_for_now() || !self.knows_engines(&placed) {
             return;
         }
-        let was_giver = self.lease.is_giver();
-        if !self.lease.stand().await {
+        let was_giver = self.lease.is_holder();
+        if !self.lease.try_acquire().await {
             return;
         }
         let now = self.node.now();
@@ -163,7 +163,7 @@
                 let engine_orders = book.engines.entry(server.entry.id.clone()).or_default();
                 let seen = view(server, engine_orders, now);
                 let busy =
-                    seen.busy || book.may_get_earlier_orders(&server.entry, now) || backs_off;
+                    seen.busy || book.may_receive_stale_order(&server.entry, now) || backs_off;
                 let in_use = in_use.remove(&server.entry.id).unwrap_or_default();
                 views.push(EngineView { in_use, busy, ..seen });
             }
@@ -255,7 +255,7 @@
             let load_time = model.load_time_with(&entry.in_memory, &entry.on_disk);
             let item = ModelRef { model: comes.clone(), adapter: None };
             let at = self.node.now() + room_time + load_time;
-            lacks::expect(&self.node, &server.entry.id, &item, at);
+            missing_items::expect(&self.node, &server.entry.id, &item, at);
         }
     }
 }
--- a/trackfrontd/src/serving/quota.rs
+++ b/trackfrontd/src/serving/quota.rs
@@ -24,7 +24,7 @@
 }
 
 /// Asks again and again, for as long as the box lives.
-pub async fn keep_quotas(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
+pub async fn maintain_quotas(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     let mut boxes_at: Option<Moment> = None;
     let mut knew_all = false;
     loop {
@@ -68,6 +68,6 @@
 }
 
 /// Takes in the answer of another box.
-pub fn take_in(node: &ServingNode, ip: Ipv4Addr, answer: &Answer) {
+pub fn handle_answer(node: &ServingNode, ip: Ipv4Addr, answer: &Answer) {
     node.quotas.take_in(box_id(ip), answer, node.now());
 }
--- a/trackfrontd/src/serving/run.rs
+++ b/trackfrontd/src/serving/run.rs
@@ -20,7 +20,8 @@
 use super::placement::Placement;
 use super::settings::ServingSettings;
 use super::{
-    boxes, cold, crashes, follow, lacks, listeners, newest, notices, quota, suspension, turns,
+    boxes, cold, crashes, follow, listeners, missing_items, newest, notices, permits, quota,
+    suspension,
 };
 
 /// How long a call to the platform's store may take beyond the time that it asks the store to wait.
@@ -74,15 +75,15 @@
     tasks.spawn(follow::follow_servers(node.clone(), socket.clone()));
     tasks.spawn(gossip::tell(node.clone(), socket.clone(), giving.clone()));
     tasks.spawn(boxes::list_boxes(node.clone(), socket.clone()));
-    tasks.spawn(lacks::tell_askers(node.clone(), socket.clone()));
+    tasks.spawn(missing_items::notify_askers(node.clone(), socket.clone()));
     tasks.spawn(newest::keep_newest(node.clone(), socket.clone()));
-    tasks.spawn(cold::follow_boxes(node.clone()));
-    tasks.spawn(quota::keep_quotas(node.clone(), socket.clone()));
-    tasks.spawn(crashes::tell(node.clone(), socket.clone()));
-    tasks.spawn(crashes::keep(node.clone()));
-    tasks.spawn(notices::load(node.clone()));
-    tasks.spawn(notices::tell(node.clone(), socket.clone()));
-    tasks.spawn(turns::carry(node.clone(), socket.clone()));
+    tasks.spawn(cold::maintain_senders(node.clone()));
+    tasks.spawn(quota::maintain_quotas(node.clone(), socket.clone()));
+    tasks.spawn(crashes::broadcast(node.clone(), socket.clone()));
+    tasks.spawn(crashes::maintain_rows(node.clone()));
+    tasks.spawn(notices::fetch_from_peers(node.clone()));
+    tasks.spawn(notices::broadcast(node.clone(), socket.clone()));
+    tasks.spawn(permits::send_requests(node.clone(), socket.clone()));
     tasks.spawn(gossip::hear(node.clone(), socket));
     tasks.spawn(sweep(node.clone()));
     tasks.spawn(suspension::watch(node.clone()));
@@ -164,7 +165,7 @@
         node.loads.lock().forget_old(now);
         node.overlay.lock().forget_old(now);
         notices::sweep(&node, now);
-        turns::sweep(&node, now);
+        permits::sweep(&node, now);
     }
 }
 
--- a/trackfrontd/src/serving/unusable.rs
+++ b/trackfrontd/src/serving/unusable_rows.rs
@@ -23,7 +23,7 @@
 
 impl UnusableRows {
     /// Notes those among rows that were read from the platform.
-    pub fn note(&self, rows: &[ServerChange], metrics: &ServingMetrics) {
+    pub fn record(&self, rows: &[ServerChange], metrics: &ServingMetrics) {
         let mut summed_up = 0;
         let mut lines = 0;
         for row in rows {
