--- a/trackfront_adapters/src/interface.rs
+++ b/trackfront_adapters/src/interface.rs
@@ -10,7 +10,7 @@
 use http_body_util::Full;
 use trackfront_core::ids::{AccountName, RequestId, ServerKey};
 use trackfront_core::serving::directory::ServerEntry;
-use trackfront_core::serving::load::ToldLoad;
+use trackfront_core::serving::load::ReportedLoad;
 use trackfront_core::serving::notices::Notice;
 use trackfront_core::serving::orders::{EngineOrder, EngineReport, OrderAnswer};
 use trackfront_core::serving::request::{Refusal, RequestInfo};
@@ -66,7 +66,7 @@
     /// Whether the answer bears the mark that makes it count as the server's own.
     pub signed: bool,
     /// The server's load.
-    pub load: Option<ToldLoad>,
+    pub load: Option<ReportedLoad>,
     /// How much longer it is cold, if it says so.
     pub cold_for: Option<Duration>,
     /// What it says of itself beside.
--- a/trackfront_core/src/serving/choose.rs
+++ b/trackfront_core/src/serving/choose.rs
@@ -11,7 +11,7 @@
 use crate::serving::affinity::{Prefix, PromptMemory};
 use crate::serving::cold::Coldness;
 use crate::serving::directory::KnownServer;
-use crate::serving::load::{LoadBook, RANKS};
+use crate::serving::load::{LoadTracker, RANKS};
 use crate::serving::places::Places;
 use crate::serving::request::{ModelRef, RequestInfo};
 use crate::units::Moment;
@@ -170,7 +170,7 @@
 pub fn choose<'a>(
     query: &Query<'_>,
     servers: impl IntoIterator<Item = &'a Arc<KnownServer>>,
-    loads: &mut LoadBook,
+    loads: &mut LoadTracker,
     memory: &PromptMemory,
     view: &dyn ServerView,
 ) -> Result<Choice, NoChoice> {
@@ -272,14 +272,14 @@
 fn judge(
     query: &Query<'_>,
     server: &Arc<KnownServer>,
-    loads: &mut LoadBook,
+    loads: &mut LoadTracker,
     memory: &PromptMemory,
     view: &dyn ServerView,
 ) -> (f64, Choice) {
     let now = query.now;
     let id = &server.entry.id;
     let cached_tokens = memory.cached(query.prefixes, id, now);
-    let token_cost = query.info.model.as_ref().map(|item| loads.token_cost_ms(&item.model));
+    let token_cost = query.info.model.as_ref().map(|item| loads.prefill_ms_per_token(&item.model));
     let load = loads.server(id);
     let total = load.total(now);
     let waiting = load.waiting(now);
@@ -290,25 +290,25 @@
     let mut estimate = match token_cost {
         Some(cost) => {
             let unread = f64::from(query.info.work(cached_tokens, query.rank).prompt_tokens);
-            total.reading_before(query.rank)
+            total.prefill_ahead_ms(query.rank)
                 + unread * cost * pace
                 + f64::from(requests) * BATCH_MATE_MS
                 + slot_wait_ms
         }
-        None => load.call_ms() * pace * f64::from(requests) / f64::from(slots) / 4.0,
+        None => load.mean_call_ms() * pace * f64::from(requests) / f64::from(slots) / 4.0,
     };
     if token_cost.is_none() && requests >= slots {
         let over = f64::from(requests - slots + 1) / f64::from(slots);
-        estimate += load.call_ms() * pace * over + WAITING_MS;
+        estimate += load.mean_call_ms() * pace * over + WAITING_MS;
     }
     estimate += f64::from(waiting) * WAITING_MS;
     // What others wait because it takes a slot before them counts like its own wait. The time of a plain
     // call itself is expected, but is no reason to go elsewhere: it differs by chance.
-    let own_call_ms = if token_cost.is_none() { load.call_ms() * pace } else { 0.0 };
+    let own_call_ms = if token_cost.is_none() { load.mean_call_ms() * pace } else { 0.0 };
     let mut cost = estimate + total.slot_wait_ms(LEAST_URGENT, slots) - slot_wait_ms;
     if token_cost.is_none() {
         // What the server itself says of its machine is no chance.
-        cost += load.call_ms() * (pace - 1.0);
+        cost += load.mean_call_ms() * (pace - 1.0);
     }
     if server.entry.zone != *query.zone {
         cost += OTHER_ZONE_MS;
@@ -316,7 +316,7 @@
     if !view.is_connected(&server.entry.address) {
         cost += NEW_CONNECTION_MS;
     }
-    cost += load.fault_share(now) * FAULT_MS;
+    cost += load.failure_rate(now) * FAULT_MS;
     if load.is_paused(now) {
         cost += PAUSED_MS;
     }
--- a/trackfront_core/src/serving/making.rs
+++ b/trackfront_core/src/serving/decode_speed.rs
@@ -34,12 +34,12 @@
 
 /// The measured speeds at which answers are made.
 #[derive(Debug, Default)]
-pub struct MakingSpeeds {
+pub struct DecodeSpeeds {
     models: HashMap<ModelName, Sums>,
     all: Sums,
 }
 
-impl MakingSpeeds {
+impl DecodeSpeeds {
     /// Notes that an answer that was expected to have `tokens` took `took_ms` after its first event.
     pub fn note(&mut self, model: &ModelName, tokens: u32, took_ms: f64) {
         let tokens = f64::from(tokens);
--- a/trackfront_core/src/serving/share.rs
+++ b/trackfront_core/src/serving/in_flight.rs
@@ -9,48 +9,49 @@
 
 /// What a node has under way at one server for requests of one rank.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RankShare {
+pub struct RankInFlight {
     /// Requests.
     pub requests: u32,
     /// The time that the server needs to read those of their prompts that are unread, in
     /// milliseconds.
-    pub reading_ms: f64,
+    pub prefill_ms: f64,
     /// The time that their answers take to be made from beginning to end, in milliseconds: each of
     /// them has a slot for that long.
-    pub making_ms: f64,
+    pub decode_ms: f64,
 }
 
-impl RankShare {
-    pub(super) fn take_off(&mut self, other: &RankShare) {
+impl RankInFlight {
+    pub(super) fn take_off(&mut self, other: &RankInFlight) {
         self.requests = self.requests.saturating_sub(other.requests);
-        self.reading_ms = (self.reading_ms - other.reading_ms).max(0.0);
-        self.making_ms = (self.making_ms - other.making_ms).max(0.0);
+        self.prefill_ms = (self.prefill_ms - other.prefill_ms).max(0.0);
+        self.decode_ms = (self.decode_ms - other.decode_ms).max(0.0);
     }
 
-    pub(super) fn add(&mut self, other: &RankShare) {
+    pub(super) fn add(&mut self, other: &RankInFlight) {
         self.requests += other.requests;
-        self.reading_ms += other.reading_ms;
-        self.making_ms += other.making_ms;
+        self.prefill_ms += other.prefill_ms;
+        self.decode_ms += other.decode_ms;
     }
 }
 
 /// What a node has under way at one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Share {
+pub struct InFlight {
     /// By rank.
-    pub by_rank: [RankShare; RANKS],
+    pub by_rank: [RankInFlight; RANKS],
 }
 
-impl Share {
+impl InFlight {
     /// Returns how many requests are under way.
     pub fn requests(&self) -> u32 {
         self.by_rank.iter().map(|rank| rank.requests).sum()
     }
 
     /// Returns the reading that a request of `rank` waits for, in milliseconds.
-    pub fn reading_before(&self, rank: u8) -> f64 {
+    pub fn prefill_ahead_ms(&self, rank: u8) -> f64 {
         let (before, after) = self.by_rank.split_at(first_after(rank));
-        let reading = |ranks: &[RankShare]| ranks.iter().map(|rank| rank.reading_ms).sum::<f64>();
+        let reading =
+            |ranks: &[RankInFlight]| ranks.iter().map(|rank| rank.prefill_ms).sum::<f64>();
         reading(before) + reading(after) * LESS_URGENT_PART
     }
 
@@ -66,18 +67,18 @@
         if requests < slots {
             return 0.0;
         }
-        let taken_ms: f64 = before.iter().map(|rank| rank.making_ms).sum();
+        let taken_ms: f64 = before.iter().map(|rank| rank.decode_ms).sum();
         let mean_ms = taken_ms / f64::from(requests);
         f64::from(requests - slots + 1) * mean_ms / f64::from(slots)
     }
 
-    pub(super) fn take_off(&mut self, other: &Share) {
+    pub(super) fn take_off(&mut self, other: &InFlight) {
         for (sum, less) in self.by_rank.iter_mut().zip(&other.by_rank) {
             sum.take_off(less);
         }
     }
 
-    pub(super) fn add(&mut self, other: &Share) {
+    pub(super) fn add(&mut self, other: &InFlight) {
         for (sum, more) in self.by_rank.iter_mut().zip(&other.by_rank) {
             sum.add(more);
         }
@@ -88,9 +89,9 @@
     pub(super) fn add_unknown(&mut self, requests: u32) {
         let most = self.by_rank.iter_mut().rev().max_by_key(|rank| rank.requests);
         let most = most.expect("there are ranks");
-        let mean_ms = most.making_ms / f64::from(most.requests.max(1));
+        let mean_ms = most.decode_ms / f64::from(most.requests.max(1));
         most.requests += requests;
-        most.making_ms += mean_ms * f64::from(requests);
+        most.decode_ms += mean_ms * f64::from(requests);
     }
 }
 
--- a/trackfront_core/src/serving/load.rs
+++ b/trackfront_core/src/serving/load.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use crate::ids::{BackendId, ModelName};
+use crate::serving::decode_speed::DecodeSpeeds;
 use crate::serving::forecast::Forecasts;
-use crate::serving::making::MakingSpeeds;
-pub use crate::serving::share::{RANKS, RankShare, Share};
+pub use crate::serving::in_flight::{InFlight, RANKS, RankInFlight};
 use crate::units::Moment;
 
 /// How long what a peer told of its requests counts.
@@ -65,7 +65,7 @@
 
 /// A load that a server told in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests being worked on.
     pub running: u32,
     /// Requests waiting.
@@ -78,7 +78,7 @@
 
 /// How a request ended at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// It was answered whole.
     Answered,
     /// The server said that it did not run it.
@@ -96,27 +96,27 @@
 /// The load of one server.
 #[derive(Debug, Default)]
 pub struct ServerLoad {
-    own: Share,
+    own: InFlight,
     /// What all peers have under way here, as far as their word counts.
-    peers: Share,
-    told: Option<(ToldLoad, Moment, u32)>,
+    peers: InFlight,
+    told: Option<(ReportedLoad, Moment, u32)>,
     failures: u32,
     paused_until: Option<Moment>,
     unreachable_since: Option<Moment>,
     replaced: bool,
     faults: f64,
     faults_at: Moment,
-    call_ms: Option<f64>,
+    mean_call_ms: Option<f64>,
 }
 
 impl ServerLoad {
     /// Returns this node's own share.
-    pub fn own(&self) -> Share {
+    pub fn own(&self) -> InFlight {
         self.own
     }
 
     /// Returns what all nodes have under way here, as far as it is known.
-    pub fn total(&self, now: Moment) -> Share {
+    pub fn total(&self, now: Moment) -> InFlight {
         let mut total = self.own;
         total.add(&self.peers);
         if let Some((told, at, own_then)) = self.told
@@ -141,7 +141,7 @@
     pub fn pace(&self, now: Moment) -> f64 {
         let (low, high) = PACE_BOUNDS;
         match self.told {
-            Some((ToldLoad { pace: Some(pace), .. }, at, _)) if now.since(at) < PACE_FOR => {
+            Some((ReportedLoad { pace: Some(pace), .. }, at, _)) if now.since(at) < PACE_FOR => {
                 (f64::from(pace) / 100.0).clamp(low, high)
             }
             _ => 1.0,
@@ -164,19 +164,19 @@
     }
 
     /// Returns the share of requests that failed lately, from 0 to 1.
-    pub fn fault_share(&self, now: Moment) -> f64 {
+    pub fn failure_rate(&self, now: Moment) -> f64 {
         let halves = now.since(self.faults_at).as_secs_f64() / FAULT_HALF_LIFE.as_secs_f64();
         self.faults * 0.5f64.powf(halves)
     }
 
     /// Returns the mean time of a plain call in milliseconds, zero before any was measured: what is
     /// not known keeps no request away.
-    pub fn call_ms(&self) -> f64 {
-        self.call_ms.unwrap_or(0.0)
+    pub fn mean_call_ms(&self) -> f64 {
+        self.mean_call_ms.unwrap_or(0.0)
     }
 
     fn note_fault(&mut self, failed: bool, now: Moment) {
-        let share = self.fault_share(now);
+        let share = self.failure_rate(now);
         self.faults = share + FAULT_WEIGHT * (f64::from(u8::from(failed)) - share);
         self.faults_at = now;
     }
@@ -200,17 +200,17 @@
     }
 }
 
-/// A request that counts at a server. It has to be given back to [`LoadBook::end`].
+/// A request that counts at a server. It has to be given back to [`LoadTracker::end`].
 #[derive(Debug)]
-pub struct Counted {
+pub struct TrackedRequest {
     server: BackendId,
     model: Option<ModelName>,
     rank: usize,
-    reading_ms: f64,
-    making_ms: f64,
+    prefill_ms: f64,
+    decode_ms: f64,
     output_tokens: u32,
     /// How long reading, what is read before it and the wait for a slot should take.
-    reading_expected_ms: f64,
+    expected_prefill_ms: f64,
     /// How long the first event should take by the choice of the server, which looks at more.
     expected_ms: f64,
     /// Whether there was a free slot, so that the time to the first event is that of reading.
@@ -219,7 +219,7 @@
     first_event: Option<Moment>,
 }
 
-impl Counted {
+impl TrackedRequest {
     /// Returns the server.
     pub fn server(&self) -> &BackendId {
         &self.server
@@ -238,16 +238,16 @@
 
 /// The load of all servers, and the measured speed of models.
 #[derive(Debug, Default)]
-pub struct LoadBook {
+pub struct LoadTracker {
     servers: HashMap<BackendId, ServerLoad>,
     /// What each peer told last, and when.
-    peers: HashMap<u32, (Vec<(BackendId, Share)>, Moment)>,
-    token_cost_ms: HashMap<ModelName, f64>,
-    making: MakingSpeeds,
+    peers: HashMap<u32, (Vec<(BackendId, InFlight)>, Moment)>,
+    prefill_ms_per_token: HashMap<ModelName, f64>,
+    decode_speeds: DecodeSpeeds,
     forecasts: Forecasts,
 }
 
-impl LoadBook {
+impl LoadTracker {
     /// Returns whether another run of a server has taken its place.
     pub fn is_replaced(&self, id: &BackendId) -> bool {
         self.servers.get(id).is_some_and(ServerLoad::is_replaced)
@@ -268,26 +268,26 @@
 
     /// Returns the time to read one token of a prompt for `model`, in milliseconds; for one that was
     /// not measured yet the mean of those that were.
-    pub fn token_cost_ms(&self, model: &ModelName) -> f64 {
-        let measured = self.token_cost_ms.get(model).copied();
-        measured.unwrap_or_else(|| self.mean_token_cost_ms())
+    pub fn prefill_ms_per_token(&self, model: &ModelName) -> f64 {
+        let measured = self.prefill_ms_per_token.get(model).copied();
+        measured.unwrap_or_else(|| self.mean_prefill_ms_per_token())
     }
 
-    fn mean_token_cost_ms(&self) -> f64 {
-        match self.token_cost_ms.len() {
+    fn mean_prefill_ms_per_token(&self) -> f64 {
+        match self.prefill_ms_per_token.len() {
             0 => FIRST_TOKEN_COST_MS,
-            models => self.token_cost_ms.values().sum::<f64>() / models as f64,
+            models => self.prefill_ms_per_token.values().sum::<f64>() / models as f64,
         }
     }
 
     /// Returns the time to make an answer of `tokens` tokens, in milliseconds.
-    pub fn making_ms(&self, model: &ModelName, tokens: u32) -> f64 {
-        self.making.token_ms(model) * f64::from(tokens)
+    pub fn decode_ms(&self, model: &ModelName, tokens: u32) -> f64 {
+        self.decode_speeds.token_ms(model) * f64::from(tokens)
     }
 
     /// Returns how likely it is that the first event of an answer by a model, or a plain answer, that is
     /// expected after `estimate` comes within `limit`, from 0 to 1; by whether the server has a free slot.
-    pub fn chance(
+    pub fn probability_within(
         &mut self,
         of_model: bool,
         has_slot: bool,
@@ -306,25 +306,25 @@
         model: Option<&ModelName>,
         work: Work,
         now: Moment,
-    ) -> Counted {
-        let cost = model.map_or(0.0, |model| self.token_cost_ms(model));
-        let reading_ms = f64::from(work.prompt_tokens) * cost;
-        let making_ms = model.map_or(0.0, |model| self.making_ms(model, work.output_tokens));
+    ) -> TrackedRequest {
+        let cost = model.map_or(0.0, |model| self.prefill_ms_per_token(model));
+        let prefill_ms = f64::from(work.prompt_tokens) * cost;
+        let decode_ms = model.map_or(0.0, |model| self.decode_ms(model, work.output_tokens));
         let load = self.server(server);
         let total = load.total(now);
         let slot_wait_ms = total.slot_wait_ms(work.rank, slots);
-        let reading_expected_ms = total.reading_before(work.rank) + reading_ms + slot_wait_ms;
+        let expected_prefill_ms = total.prefill_ahead_ms(work.rank) + prefill_ms + slot_wait_ms;
         let rank = usize::from(work.rank).min(RANKS - 1);
-        load.own.by_rank[rank].add(&RankShare { requests: 1, reading_ms, making_ms });
-        Counted {
+        load.own.by_rank[rank].add(&RankInFlight { requests: 1, prefill_ms, decode_ms });
+        TrackedRequest {
             server: server.clone(),
             model: model.cloned(),
             rank,
-            reading_ms,
-            making_ms,
+            prefill_ms,
+            decode_ms,
             output_tokens: work.output_tokens,
-            reading_expected_ms,
-            expected_ms: reading_expected_ms,
+            expected_prefill_ms,
+            expected_ms: expected_prefill_ms,
             had_slot: total.requests() < slots,
             began: now,
             first_event: None,
@@ -332,8 +332,8 @@
     }
 
     /// Notes the first event of an answer: the prompt has been read.
-    pub fn first_event(&mut self, counted: &mut Counted, now: Moment) {
-        self.end_reading(counted);
+    pub fn first_event(&mut self, counted: &mut TrackedRequest, now: Moment) {
+        self.end_prefill(counted);
         counted.first_event = Some(now);
         self.server(&counted.server.clone()).note_reachable();
         let took_ms = now.since(counted.began).as_secs_f64() * 1_000.0;
@@ -343,68 +343,73 @@
             return;
         };
         let (low, high) = SURPRISE_BOUNDS;
-        let surprise = (took_ms / counted.reading_expected_ms.max(1.0)).clamp(low, high);
-        let cost = self.token_cost_ms(model) * (1.0 + MEAN_WEIGHT * (surprise - 1.0));
+        let surprise = (took_ms / counted.expected_prefill_ms.max(1.0)).clamp(low, high);
+        let cost = self.prefill_ms_per_token(model) * (1.0 + MEAN_WEIGHT * (surprise - 1.0));
         let (low, high) = TOKEN_COST_BOUNDS_MS;
-        self.token_cost_ms.insert(model.clone(), cost.clamp(low, high));
+        self.prefill_ms_per_token.insert(model.clone(), cost.clamp(low, high));
     }
 
     /// Takes a request off a server's load.
-    pub fn end(&mut self, mut counted: Counted, ending: Ending, now: Moment) {
-        self.end_reading(&mut counted);
+    pub fn end(&mut self, mut counted: TrackedRequest, ending: AttemptOutcome, now: Moment) {
+        self.end_prefill(&mut counted);
         let took_ms = now.since(counted.began).as_secs_f64() * 1_000.0;
         let plain = counted.model.is_none();
-        if plain && ending == Ending::Answered {
+        if plain && ending == AttemptOutcome::Answered {
             self.forecasts.of(false, counted.had_slot).note(counted.expected_ms, took_ms);
         }
-        if ending == Ending::Answered
+        if ending == AttemptOutcome::Answered
             && let (Some(model), Some(first)) = (&counted.model, counted.first_event)
         {
             let made_ms = now.since(first).as_secs_f64() * 1_000.0;
-            self.making.note(model, counted.output_tokens, made_ms);
+            self.decode_speeds.note(model, counted.output_tokens, made_ms);
         }
         let load = self.server(&counted.server);
         let own = &mut load.own.by_rank[counted.rank];
         assert!(own.requests > 0, "a request ends once");
-        own.take_off(&RankShare { requests: 1, making_ms: counted.making_ms, reading_ms: 0.0 });
+        own.take_off(&RankInFlight { requests: 1, decode_ms: counted.decode_ms, prefill_ms: 0.0 });
         match ending {
-            Ending::Answered => {
+            AttemptOutcome::Answered => {
                 load.note_reachable();
                 load.note_fault(false, now);
                 if plain {
                     let mean = load
-                        .call_ms
+                        .mean_call_ms
                         .map_or(took_ms, |before| before + MEAN_WEIGHT * (took_ms - before));
-                    load.call_ms = Some(mean);
+                    load.mean_call_ms = Some(mean);
                 }
             }
-            Ending::Refused => load.note_reachable(),
-            Ending::Replaced => load.replaced = true,
-            Ending::Unreachable => load.note_unreachable(now),
-            Ending::Failed => load.note_fault(true, now),
-            Ending::Abandoned => {}
+            AttemptOutcome::Refused => load.note_reachable(),
+            AttemptOutcome::Replaced => load.replaced = true,
+            AttemptOutcome::Unreachable => load.note_unreachable(now),
+            AttemptOutcome::Failed => load.note_fault(true, now),
+            AttemptOutcome::Abandoned => {}
         }
     }
 
     /// Notes that a server could not be reached.
-    pub fn unreachable(&mut self, server: &BackendId, now: Moment) {
+    pub fn mark_unreachable(&mut self, server: &BackendId, now: Moment) {
         self.server(server).note_unreachable(now);
     }
 
     /// Notes that a server has ended, as this box or another found. If its row stays it is tried again after
     /// [`MAX_PAUSE`]: some go down and up under one identity.
-    pub fn ended(&mut self, server: &BackendId, now: Moment) {
+    pub fn mark_ended(&mut self, server: &BackendId, now: Moment) {
         self.server(server).note_ended(now);
     }
 
     /// Notes what a server told of its load.
-    pub fn told(&mut self, server: &BackendId, told: ToldLoad, now: Moment) {
+    pub fn apply_report(&mut self, server: &BackendId, told: ReportedLoad, now: Moment) {
         let load = self.server(server);
         load.told = Some((told, now, load.own.requests()));
     }
 
     /// Notes what a peer has under way, at all servers together: what it told before is replaced.
-    pub fn peer_told(&mut self, peer: u32, shares: Vec<(BackendId, Share)>, now: Moment) {
+    pub fn apply_peer_report(
+        &mut self,
+        peer: u32,
+        shares: Vec<(BackendId, InFlight)>,
+        now: Moment,
+    ) {
         let before = self.peers.remove(&peer).map(|(shares, _)| shares);
         for (server, share) in before.unwrap_or_default() {
             self.server(&server).peers.take_off(&share);
@@ -420,7 +425,7 @@
     pub fn forget_old(&mut self, now: Moment) {
         self.peers.retain(|_, (_, at)| now.since(*at) < PEER_FIGURES_FOR);
         for load in self.servers.values_mut() {
-            load.peers = Share::default();
+            load.peers = InFlight::default();
         }
         let shares = self.peers.values().flat_map(|(shares, _)| shares);
         for (server, share) in shares {
@@ -437,14 +442,14 @@
     }
 
     /// Returns this node's own share at each server where it has requests under way.
-    pub fn own_shares(&self) -> impl Iterator<Item = (&BackendId, Share)> {
+    pub fn own_in_flight(&self) -> impl Iterator<Item = (&BackendId, InFlight)> {
         let busy = self.servers.iter().filter(|(_, load)| load.own.requests() > 0);
         busy.map(|(id, load)| (id, load.own))
     }
 
-    fn end_reading(&mut self, counted: &mut Counted) {
-        let reading_ms = std::mem::take(&mut counted.reading_ms);
+    fn end_prefill(&mut self, counted: &mut TrackedRequest) {
+        let prefill_ms = std::mem::take(&mut counted.prefill_ms);
         let own = &mut self.server(&counted.server.clone()).own.by_rank[counted.rank];
-        own.take_off(&RankShare { reading_ms, ..RankShare::default() });
+        own.take_off(&RankInFlight { prefill_ms, ..RankInFlight::default() });
     }
 }
--- a/trackfront_core/tests/serving/choice.rs
+++ b/trackfront_core/tests/serving/choice.rs
@@ -9,7 +9,7 @@
 };
 use trackfront_core::serving::cold::Coldness;
 use trackfront_core::serving::directory::{KnownServer, ServerEntry, ServerState};
-use trackfront_core::serving::load::{Ending, LoadBook, ToldLoad, Work};
+use trackfront_core::serving::load::{AttemptOutcome, LoadTracker, ReportedLoad, Work};
 use trackfront_core::serving::places::{Evacuations, HallWord, Places};
 use trackfront_core::serving::request::{ModelRef, PromptPart, RequestInfo};
 use trackfront_core::units::Moment;
@@ -56,7 +56,7 @@
 pub struct Case {
     servers: Vec<ServerEntry>,
     info: RequestInfo,
-    loads: LoadBook,
+    loads: LoadTracker,
     memory: PromptMemory,
     notes: Notes,
     tried: Vec<BackendId>,
@@ -70,7 +70,7 @@
     Case {
         servers,
         info,
-        loads: LoadBook::default(),
+        loads: LoadTracker::default(),
         memory: PromptMemory::default(),
         notes: Notes::default(),
         tried: Vec::new(),
@@ -219,7 +219,7 @@
     let mut case = case(vec![entry("x", &["m"])], info(Some(item("m", None)), 1));
     let work = Work::default();
     let counted = case.loads.begin(&"x".into(), 4, None, work, at(0));
-    case.loads.end(counted, Ending::Replaced, at(0));
+    case.loads.end(counted, AttemptOutcome::Replaced, at(0));
     case.now = 60_000;
     assert_eq!(case.choose().unwrap_err(), NoChoice::NoServer);
 }
@@ -230,10 +230,10 @@
     let mut case = case(vec![plain("x"), plain("y")], info(None, 0));
     for _ in 0..5 {
         let counted = case.loads.begin(&"x".into(), 4, None, Work::default(), at(0));
-        case.loads.end(counted, Ending::Failed, at(0));
+        case.loads.end(counted, AttemptOutcome::Failed, at(0));
     }
     assert_eq!(case.chosen(), "y");
-    case.loads.unreachable(&"y".into(), at(0));
+    case.loads.mark_unreachable(&"y".into(), at(0));
     assert_eq!(case.chosen(), "x", "one that fails at times is better than one that is away");
     case.tried.push("x".into());
     assert_eq!(case.chosen(), "y", "and one that is away is better than none");
@@ -360,13 +360,13 @@
     let mut case = case(servers, info(None, 0));
     for id in ["x", "y"] {
         let counted = case.loads.begin(&id.into(), 4, None, Work::default(), at(0));
-        case.loads.end(counted, Ending::Answered, at(30));
+        case.loads.end(counted, AttemptOutcome::Answered, at(30));
     }
     case.now = 100;
     assert_eq!(case.chosen(), "x", "nothing tells them apart");
-    let told = |pace| ToldLoad { running: 0, waiting: 0, slots: 4, pace: Some(pace) };
-    case.loads.told(&"x".into(), told(250), at(100));
-    case.loads.told(&"y".into(), told(100), at(100));
+    let told = |pace| ReportedLoad { running: 0, waiting: 0, slots: 4, pace: Some(pace) };
+    case.loads.apply_report(&"x".into(), told(250), at(100));
+    case.loads.apply_report(&"y".into(), told(100), at(100));
     assert_eq!(case.chosen(), "y");
     case.now = 1_000;
     assert_eq!(case.chosen(), "x", "the word is old");
--- a/trackfrontd/src/serving/crashes/mod.rs
+++ b/trackfrontd/src/serving/crashes/mod.rs
@@ -170,7 +170,7 @@
 /// Notes that a run of a server has ended: what broke there was a crash.
 pub fn server_ended(node: &ServingNode, server: &BackendId, evidence: &'static str) {
     let now = node.now();
-    node.loads.lock().ended(server, now);
+    node.loads.lock().mark_ended(server, now);
     let run = run_id(server);
     let (was_known, learned) = {
         let mut book = node.crashes.book.lock();
--- a/trackfrontd/src/serving/gossip.rs
+++ b/trackfrontd/src/serving/gossip.rs
@@ -116,7 +116,7 @@
 
 fn digest(node: &ServingNode, zone: u32, gives_orders: bool, right: Option<ToldRight>) -> Digest {
     let loads = node.loads.lock();
-    let shares = loads.own_shares();
+    let shares = loads.own_in_flight();
     let shares = shares.map(|(id, share)| ToldShare::new(short_server(id), &share)).collect();
     drop(loads);
     // Only the giver's notes are its own; others would repeat them for ever.
@@ -240,7 +240,7 @@
         .shares
         .iter()
         .filter_map(|told| Some((names.server(told.server)?.clone(), told.share())));
-    node.loads.lock().peer_told(ip.to_bits(), shares.collect(), now);
+    node.loads.lock().apply_peer_report(ip.to_bits(), shares.collect(), now);
     drop(names);
     take_notes(node, &digest.notes);
 }
--- a/trackfrontd/src/serving/messages.rs
+++ b/trackfrontd/src/serving/messages.rs
@@ -7,7 +7,7 @@
 use trackfront_core::lease::HolderWord;
 use trackfront_core::quota::{Answer, Ask};
 use trackfront_core::serving::crashes::CrashReport;
-use trackfront_core::serving::load::{RankShare, Share};
+use trackfront_core::serving::load::{InFlight, RankInFlight};
 use trackfront_core::units::Moment;
 
 use super::delegates::{ListedBox, Strength};
@@ -237,33 +237,33 @@
     /// Requests.
     pub requests: u32,
     /// Milliseconds of reading.
-    pub reading_ms: u32,
+    pub prefill_ms: u32,
     /// Milliseconds of making answers.
-    pub making_ms: u32,
+    pub decode_ms: u32,
 }
 
 impl ToldShare {
     /// Makes it out of a share, to the millisecond.
-    pub fn new(server: u32, share: &Share) -> Self {
+    pub fn new(server: u32, share: &InFlight) -> Self {
         let ranks = share.by_rank.iter().enumerate().filter(|(_, one)| one.requests > 0);
-        let told = |(rank, one): (usize, &RankShare)| ToldRank {
+        let told = |(rank, one): (usize, &RankInFlight)| ToldRank {
             rank: rank as u8,
             requests: one.requests,
-            reading_ms: one.reading_ms.round() as u32,
-            making_ms: one.making_ms.round() as u32,
+            prefill_ms: one.prefill_ms.round() as u32,
+            decode_ms: one.decode_ms.round() as u32,
         };
         Self { server, ranks: ranks.map(told).collect() }
     }
 
     /// Returns the share.
-    pub fn share(&self) -> Share {
-        let mut share = Share::default();
+    pub fn share(&self) -> InFlight {
+        let mut share = InFlight::default();
         for told in &self.ranks {
             if let Some(rank) = share.by_rank.get_mut(usize::from(told.rank)) {
-                *rank = RankShare {
+                *rank = RankInFlight {
                     requests: told.requests.min(MAX_TOLD_REQUESTS),
-                    reading_ms: f64::from(told.reading_ms),
-                    making_ms: f64::from(told.making_ms),
+                    prefill_ms: f64::from(told.prefill_ms),
+                    decode_ms: f64::from(told.decode_ms),
                 };
             }
         }
--- a/trackfrontd/src/serving/node.rs
+++ b/trackfrontd/src/serving/node.rs
@@ -20,7 +20,7 @@
 use trackfront_core::serving::crowding::Crowding;
 use trackfront_core::serving::demand::DemandMeter;
 use trackfront_core::serving::directory::{Directory, KnownServer};
-use trackfront_core::serving::load::LoadBook;
+use trackfront_core::serving::load::LoadTracker;
 use trackfront_core::serving::notices::NoticeBook;
 use trackfront_core::serving::places::Evacuations;
 use trackfront_core::serving::request::ModelRef;
@@ -93,7 +93,7 @@
     /// The halls that the operator empties.
     pub evacuations: Mutex<Evacuations>,
     /// The load of servers.
-    pub loads: Mutex<LoadBook>,
+    pub loads: Mutex<LoadTracker>,
     /// The servers that are cold.
     pub cold: Mutex<ColdBook>,
     /// What servers said of themselves in their answers.
--- a/trackfrontd/src/serving/order_task.rs
+++ b/trackfrontd/src/serving/order_task.rs
@@ -426,7 +426,7 @@
                 log::info!(server:% = server.id, error:% = error; "report not read");
                 match error {
                     UpstreamError::NotSent(_) => {
-                        self.node.loads.lock().unreachable(&server.id, self.node.now());
+                        self.node.loads.lock().mark_unreachable(&server.id, self.node.now());
                     }
                     UpstreamError::ConnectionRefused(_) => {
                         crashes::connection_refused(&self.node, &server.id)
--- a/trackfrontd/src/serving/pipeline/admission.rs
+++ b/trackfrontd/src/serving/pipeline/admission.rs
@@ -53,7 +53,8 @@
         let left = self.time_to_be_let_in(now).min(self.end - now);
         let has_slot = choice.requests < choice.server.entry.slots;
         let mut loads = self.node.loads.lock();
-        loads.chance(self.info.model.is_some(), has_slot, choice.estimate, left) >= LEAST_CHANCE
+        loads.probability_within(self.info.model.is_some(), has_slot, choice.estimate, left)
+            >= LEAST_CHANCE
     }
 
     /// Returns the time within which an answer has to be likely: what is left of the target since the client
@@ -73,7 +74,7 @@
             return Duration::ZERO;
         };
         let loads = self.node.loads.lock();
-        let reading = f64::from(self.info.prompt_tokens) * loads.token_cost_ms(&item.model);
+        let reading = f64::from(self.info.prompt_tokens) * loads.prefill_ms_per_token(&item.model);
         Duration::from_secs_f64(reading / 1_000.0)
     }
 
--- a/trackfrontd/src/serving/pipeline/attempt.rs
+++ b/trackfrontd/src/serving/pipeline/attempt.rs
@@ -15,7 +15,7 @@
 use trackfront_core::serving::choose::Choice;
 use trackfront_core::serving::directory::KnownServer;
 use trackfront_core::serving::fingerprint::Fingerprint;
-use trackfront_core::serving::load::{Counted, Ending};
+use trackfront_core::serving::load::{AttemptOutcome, TrackedRequest};
 use trackfront_core::serving::notices::Source;
 use trackfront_core::serving::request::ModelRef;
 use trackfront_core::serving::turns::TakenTurn;
@@ -47,7 +47,7 @@
 /// A request that counts at a server until this is dropped.
 pub struct Held {
     node: Arc<ServingNode>,
-    counted: Option<Counted>,
+    counted: Option<TrackedRequest>,
     item: Option<ModelRef>,
     request: RequestId,
     fingerprint: Fingerprint,
@@ -67,12 +67,12 @@
 
     /// Notes that the connection to the server broke under the request.
     pub fn broke(&mut self) {
-        self.end(Ending::Failed);
+        self.end(AttemptOutcome::Failed);
         crashes::connection_broke(&self.node, &self.request, self.fingerprint, &self.server);
     }
 
     /// Notes that the server's answer came to its end, whatever it says.
-    pub fn answered(&mut self, ending: Ending) {
+    pub fn answered(&mut self, ending: AttemptOutcome) {
         self.end(ending);
         self.node.crashes.lives(&self.server.entry.id, self.node.now());
         if self.has_own_end {
@@ -81,7 +81,7 @@
     }
 
     /// Notes how the request ended at the server.
-    pub fn end(&mut self, ending: Ending) {
+    pub fn end(&mut self, ending: AttemptOutcome) {
         let now = self.node.now();
         if let Some(counted) = self.counted.take() {
             if let Some(item) = &self.item {
@@ -93,13 +93,13 @@
 
     /// Returns how long the first event was expected to take, in milliseconds.
     pub fn expected_ms(&self) -> f64 {
-        self.counted.as_ref().map_or(0.0, Counted::expected_ms)
+        self.counted.as_ref().map_or(0.0, TrackedRequest::expected_ms)
     }
 }
 
 impl Drop for Held {
     fn drop(&mut self) {
-        self.end(Ending::Abandoned);
+        self.end(AttemptOutcome::Abandoned);
     }
 }
 
@@ -147,24 +147,24 @@
         let sent = timeout_at(self.timer(self.head_until().min(self.end)), sending).await;
         let (result, outcome) = match sent {
             Err(_) => {
-                held.end(Ending::Failed);
+                held.end(AttemptOutcome::Failed);
                 self.note_silence();
                 node.pool.forget(&server.address);
                 ("no answer in time", Sent::Failed("no answer in time"))
             }
             Ok(Err(UpstreamError::NotSent(cause))) => {
-                held.end(Ending::Unreachable);
+                held.end(AttemptOutcome::Unreachable);
                 log::info!(request:% = self.info.id, server:% = server.id, cause; "not sent");
                 ("unreachable", Sent::Unreachable)
             }
             Ok(Err(UpstreamError::Withheld)) => {
-                held.end(Ending::Abandoned);
+                held.end(AttemptOutcome::Abandoned);
                 let chosen_ms_ago = node.now().since(choice.at).as_millis() as u64;
                 log::info!(request:% = self.info.id, server:% = server.id, chosen_ms_ago; "send withheld");
                 ("withheld", Sent::Unreachable)
             }
             Ok(Err(UpstreamError::ConnectionRefused(cause))) => {
-                held.end(Ending::Unreachable);
+                held.end(AttemptOutcome::Unreachable);
                 crashes::connection_refused(node, &server.id);
                 log::info!(request:% = self.info.id, server:% = server.id, cause; "not sent");
                 ("refused_connection", Sent::NotThere)
@@ -251,19 +251,19 @@
         let source = Source { sent: choice.at, is_answer: is_ours && head.signed };
         notices::observe_head(node, &choice.server, &head, source, self.info.id.as_str());
         if !is_ours {
-            held.end(Ending::Failed);
+            held.end(AttemptOutcome::Failed);
             let other = head.request.as_ref().map_or("", RequestId::as_str);
             log::warn!(request:% = self.info.id, server:%, other; "answer to another request");
             return ("other_request", Sent::Failed("the server answered another request"));
         }
         if let Some(load) = head.load {
-            node.loads.lock().told(server, load, node.now());
+            node.loads.lock().apply_report(server, load, node.now());
         }
         if head.not_run || head.misdirected {
             let own_key = &choice.server.entry.key;
             let replaced =
                 head.misdirected && head.instance.as_ref().is_some_and(|key| key != own_key);
-            held.end(if replaced { Ending::Replaced } else { Ending::Refused });
+            held.end(if replaced { AttemptOutcome::Replaced } else { AttemptOutcome::Refused });
             if replaced {
                 crashes::server_ended(node, server, "another run answers at its address");
             }
@@ -280,7 +280,7 @@
             };
         }
         if status.is_success() && !head.signed {
-            held.end(Ending::Failed);
+            held.end(AttemptOutcome::Failed);
             log::warn!(request:% = self.info.id, server:%; "answer without the server's mark");
             return ("unsigned", Sent::Failed("the answer is not the server's"));
         }
--- a/trackfrontd/src/serving/pipeline/mod.rs
+++ b/trackfrontd/src/serving/pipeline/mod.rs
@@ -213,12 +213,13 @@
     let engine = job.config.services.get(&job.service).and_then(|spec| spec.engine.as_ref());
     if let (Some(item), Some(engine)) = (&job.info.model, engine) {
         let loads = node.loads.lock();
-        let reading_ms = f64::from(job.info.prompt_tokens) * loads.token_cost_ms(&item.model);
-        let making_ms = loads.making_ms(&item.model, job.info.output_tokens);
+        let prefill_ms =
+            f64::from(job.info.prompt_tokens) * loads.prefill_ms_per_token(&item.model);
+        let decode_ms = loads.decode_ms(&item.model, job.info.output_tokens);
         drop(loads);
         // An engine reads one prompt after the other, and makes as many answers at once as it has
         // slots.
-        let work_ms = reading_ms + making_ms / f64::from(engine.slots.max(1));
+        let work_ms = prefill_ms + decode_ms / f64::from(engine.slots.max(1));
         let mut demand = node.demand.lock();
         let model = ModelRef { model: item.model.clone(), adapter: None };
         demand.count(&model, work_ms, now);
--- a/trackfrontd/src/serving/response_relay.rs
+++ b/trackfrontd/src/serving/response_relay.rs
@@ -15,7 +15,7 @@
 use trackfront_adapters::serving_metrics::KindLabel;
 use trackfront_adapters::upstream::{UpstreamAnswer, UpstreamBody};
 use trackfront_core::ids::BackendId;
-use trackfront_core::serving::load::Ending;
+use trackfront_core::serving::load::AttemptOutcome;
 
 use super::pipeline::{Broken, Chosen, EndLog, Held, Job, PlainAnswer, Sent, Tries, Units};
 
@@ -82,10 +82,10 @@
             let took = job.arrived.elapsed().as_secs_f64();
             job.node.metrics.first_event.get_or_create(&KindLabel { kind }).observe(took);
             if status.is_server_error() {
-                held.answered(Ending::Failed);
+                held.answered(AttemptOutcome::Failed);
                 Relayed::Failure(answer)
             } else {
-                held.answered(Ending::Answered);
+                held.answered(AttemptOutcome::Answered);
                 Relayed::Answer(job.plain_response(answer), false)
             }
         }
@@ -94,7 +94,7 @@
             Relayed::Broken(cause)
         }
         Err(Broken::Late(cause)) => {
-            held.end(Ending::Failed);
+            held.end(AttemptOutcome::Failed);
             Relayed::Broken(cause)
         }
     }
@@ -140,7 +140,7 @@
     let first = match events.next_piece().await {
         Next::Piece(first) => first,
         Next::End => {
-            events.held.answered(Ending::Answered);
+            events.held.answered(AttemptOutcome::Answered);
             return Relayed::Answer(job.client_answer(&head, empty()), false);
         }
         Next::Broken(broken) => {
@@ -190,7 +190,7 @@
                 Next::Piece(piece) => return Some(Ok(piece)),
                 Next::End => {
                     self.ended = true;
-                    self.held.answered(Ending::Answered);
+                    self.held.answered(AttemptOutcome::Answered);
                     return None;
                 }
                 Next::Broken(broken) => {
@@ -207,7 +207,7 @@
     fn note_broken(&mut self, broken: Broken) {
         match broken {
             Broken::Connection(_) => self.held.broke(),
-            Broken::Late(_) => self.held.end(Ending::Failed),
+            Broken::Late(_) => self.held.end(AttemptOutcome::Failed),
         }
     }
 
--- a/trackfrontd/tests/messages.rs
+++ b/trackfrontd/tests/messages.rs
@@ -15,8 +15,8 @@
         .map(|rank| ToldRank {
             rank,
             requests: u32::MAX,
-            reading_ms: u32::MAX,
-            making_ms: u32::MAX,
+            prefill_ms: u32::MAX,
+            decode_ms: u32::MAX,
         })
         .collect();
     let share = ToldShare { server: 1, ranks }.share();
