--- a/trackfront_core/src/lease.rs
+++ b/trackfront_core/src/lease.rs
@@ -31,7 +31,7 @@
 
 /// A lease's row as this box has seen it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SeenLease {
+pub struct ObservedLease {
     /// The row's version in the table.
     pub version: u64,
     /// The row's value.
@@ -138,12 +138,12 @@
 /// nobody holds it, or this box has watched one version for longer than it lasts. A box that
 /// lost track of its own lease, as after a lost reply, takes it again under a larger token.
 pub fn takeover(
-    seen: Option<&SeenLease>,
+    seen: Option<&ObservedLease>,
     me: &NodeId,
     ttl: Duration,
     now: Moment,
 ) -> Option<LeaseRow> {
-    takeover_after(seen, me, LeaseTerms { ttl, quiet: Duration::ZERO }, now)
+    takeover_with_quiet_period(seen, me, LeaseTerms { ttl, quiet_period: Duration::ZERO }, now)
 }
 
 /// How long a lease lasts, and how long nothing may happen under it before another holder acts.
@@ -153,19 +153,19 @@
     pub ttl: Duration,
     /// The least time between the last act of one holder and the first of another. Those who are
     /// acted upon may not check tokens, so the acts themselves have to be apart.
-    pub quiet: Duration,
+    pub quiet_period: Duration,
 }
 
 /// As [`takeover`], with a quiet time between holders.
-pub fn takeover_after(
-    seen: Option<&SeenLease>,
+pub fn takeover_with_quiet_period(
+    seen: Option<&ObservedLease>,
     me: &NodeId,
     terms: LeaseTerms,
     now: Moment,
 ) -> Option<LeaseRow> {
     let fence = match seen {
         None => Fence(1),
-        Some(lease) if now.since(lease.since) >= wait_for(lease, me, terms.quiet) => {
+        Some(lease) if now.since(lease.since) >= wait_for(lease, me, terms.quiet_period) => {
             Fence(lease.row.fence.0 + 1)
         }
         Some(_) => return None,
@@ -176,25 +176,27 @@
 /// What the holder of a lease said of its right: when what it may do under one version of the row
 /// ends. Only a write that changes the version can give it more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HolderWord {
+pub struct LeaseAnnouncement {
     /// The version of the row.
     pub version: u64,
     /// When the right ends, at the latest.
-    pub ends: Moment,
+    pub ends_at: Moment,
 }
 
-/// As [`takeover_after`], but the row need not be watched where its holder said itself when its
+/// As [`takeover_with_quiet_period`], but the row need not be watched where its holder said itself when its
 /// right under this very version ends: the quiet time is counted from there.
-pub fn takeover_on_word(
-    seen: Option<&SeenLease>,
-    word: Option<HolderWord>,
+pub fn takeover_on_announcement(
+    seen: Option<&ObservedLease>,
+    word: Option<LeaseAnnouncement>,
     me: &NodeId,
     terms: LeaseTerms,
     now: Moment,
 ) -> Option<LeaseRow> {
-    let is_over = |lease: &&SeenLease| {
+    let is_over = |lease: &&ObservedLease| {
         word.is_some_and(|word| {
-            word.version == lease.version && now >= word.ends && now.since(word.ends) >= terms.quiet
+            word.version == lease.version
+                && now >= word.ends_at
+                && now.since(word.ends_at) >= terms.quiet_period
         })
     };
     match seen.filter(is_over) {
@@ -202,19 +204,19 @@
             let fence = Fence(lease.row.fence.0 + 1);
             Some(LeaseRow { holder: Some(me.clone()), fence, ttl_ms: terms.ttl.as_millis() as u64 })
         }
-        None => takeover_after(seen, me, terms, now),
+        None => takeover_with_quiet_period(seen, me, terms, now),
     }
 }
 
 /// How long a version of the row has to be watched unchanged before `me` may take over.
-fn wait_for(lease: &SeenLease, me: &NodeId, quiet: Duration) -> Duration {
+fn wait_for(lease: &ObservedLease, me: &NodeId, quiet_period: Duration) -> Duration {
     match &lease.row.holder {
         Some(holder) if holder == me => Duration::ZERO,
-        None => quiet,
+        None => quiet_period,
         Some(_) => {
             let lasts = Duration::from_millis(lease.row.ttl_ms);
             // The margin on this side covers a watcher's clock that runs fast.
-            lasts + lasts / MARGIN_DIVISOR + quiet
+            lasts + lasts / MARGIN_DIVISOR + quiet_period
         }
     }
 }
--- a/trackfront_core/src/lease/tests.rs
+++ b/trackfront_core/src/lease/tests.rs
@@ -6,9 +6,9 @@
     Moment(Duration::from_secs(secs))
 }
 
-fn seen(holder: Option<&str>, since: u64) -> SeenLease {
+fn seen(holder: Option<&str>, since: u64) -> ObservedLease {
     let row = LeaseRow { holder: holder.map(NodeId::from), fence: Fence(4), ttl_ms: 10_000 };
-    SeenLease { version: 1, row, since: at(since) }
+    ObservedLease { version: 1, row, since: at(since) }
 }
 
 #[test]
@@ -23,8 +23,10 @@
 
 #[test]
 fn a_quiet_time_lies_between_two_holders() {
-    let (me, terms) = (NodeId::from("b"), LeaseTerms { ttl: TTL, quiet: Duration::from_secs(3) });
-    let take = |lease: &SeenLease, secs| takeover_after(Some(lease), &me, terms, at(secs));
+    let (me, terms) =
+        (NodeId::from("b"), LeaseTerms { ttl: TTL, quiet_period: Duration::from_secs(3) });
+    let take =
+        |lease: &ObservedLease, secs| takeover_with_quiet_period(Some(lease), &me, terms, at(secs));
     assert_eq!(take(&seen(Some("a"), 0), 14), None);
     assert!(take(&seen(Some("a"), 0), 15).is_some());
     assert_eq!(take(&seen(None, 0), 2), None, "a lease that was given up is quiet as well");
--- a/trackfront_core/tests/serving/orders_random.rs
+++ b/trackfront_core/tests/serving/orders_random.rs
@@ -9,8 +9,8 @@
 use statig::blocking::{IntoStateMachineExt, StateMachine};
 use trackfront_core::ids::{Fence, ModelName, NodeId};
 use trackfront_core::lease::{
-    HolderWord, LeaseEvent, LeaseHolder, LeaseRow, LeaseTerms, SeenLease, takeover_after,
-    takeover_on_word,
+    LeaseAnnouncement, LeaseEvent, LeaseHolder, LeaseRow, LeaseTerms, ObservedLease,
+    takeover_on_announcement, takeover_with_quiet_period,
 };
 use trackfront_core::serving::config::EngineSpec;
 use trackfront_core::serving::directory::ResidentModel;
@@ -20,7 +20,7 @@
 use super::support::{at, item, spec};
 
 const TERMS: LeaseTerms =
-    LeaseTerms { ttl: Duration::from_millis(1_250), quiet: Duration::from_millis(3_400) };
+    LeaseTerms { ttl: Duration::from_millis(1_250), quiet_period: Duration::from_millis(3_400) };
 
 /// The least time between orders of two givers to one engine.
 const QUIET_MS: u64 = 3_000;
@@ -128,16 +128,16 @@
 struct Giver {
     name: NodeId,
     machine: StateMachine<LeaseHolder>,
-    seen: Option<SeenLease>,
+    seen: Option<ObservedLease>,
     pacer: LoadPacer,
     frozen_until: u64,
     holds: bool,
     /// What it says of its right, for others to hear.
-    word: Option<HolderWord>,
+    word: Option<LeaseAnnouncement>,
 }
 
 /// What was last heard of each giver's right.
-type Words = BTreeMap<NodeId, HolderWord>;
+type Words = BTreeMap<NodeId, LeaseAnnouncement>;
 
 impl Giver {
     fn new(index: usize) -> Self {
@@ -163,7 +163,7 @@
         self.seen = row.row.clone().map(|value| {
             let same = self.seen.as_ref().filter(|seen| seen.version == version);
             let since = same.map_or(at(now), |seen| seen.since);
-            SeenLease { version, row: value, since }
+            ObservedLease { version, row: value, since }
         });
         let wanted = match (self.usable(now), self.seen.as_ref()) {
             (Some(_), Some(seen)) if seen.row.holder.as_ref() == Some(&self.name) => {
@@ -176,7 +176,7 @@
             (None, seen) => {
                 let holder = seen.and_then(|seen| seen.row.holder.as_ref());
                 let word = holder.and_then(|holder| words.get(holder)).copied();
-                match takeover_on_word(seen, word, &self.name, TERMS, at(now)) {
+                match takeover_on_announcement(seen, word, &self.name, TERMS, at(now)) {
                     Some(row) => row,
                     None => {
                         self.holds = false;
@@ -196,10 +196,12 @@
                 if row.write(expected, wanted.clone()) {
                     let sent_at = at(now);
                     self.seen =
-                        Some(SeenLease { version: row.version, row: wanted, since: sent_at });
+                        Some(ObservedLease { version: row.version, row: wanted, since: sent_at });
                     self.machine.handle(&LeaseEvent::Written { fence, sent_at });
-                    self.word =
-                        Some(HolderWord { version: row.version, ends: sent_at + TERMS.ttl });
+                    self.word = Some(LeaseAnnouncement {
+                        version: row.version,
+                        ends_at: sent_at + TERMS.ttl,
+                    });
                     if !self.holds {
                         self.pacer = LoadPacer::new(LoadTerms::default(), at(now));
                     }
@@ -300,29 +302,35 @@
 #[test]
 fn a_new_process_watches_from_its_own_start() {
     let lease = LeaseRow { holder: Some(NodeId::from("other")), fence: Fence(3), ttl_ms: 1_250 };
-    let seen = SeenLease { version: 1, row: lease, since: Moment::default() };
-    assert_eq!(takeover_after(Some(&seen), &NodeId::from("me"), TERMS, at(4_800)), None);
-    assert!(takeover_after(Some(&seen), &NodeId::from("me"), TERMS, at(4_900)).is_some());
+    let seen = ObservedLease { version: 1, row: lease, since: Moment::default() };
+    assert_eq!(
+        takeover_with_quiet_period(Some(&seen), &NodeId::from("me"), TERMS, at(4_800)),
+        None
+    );
+    assert!(
+        takeover_with_quiet_period(Some(&seen), &NodeId::from("me"), TERMS, at(4_900)).is_some()
+    );
 }
 
 #[test]
 fn the_holders_word_counts_for_the_version_that_it_names() {
     let lease = LeaseRow { holder: Some(NodeId::from("other")), fence: Fence(3), ttl_ms: 1_250 };
-    let seen = SeenLease { version: 7, row: lease, since: at(10_000) };
+    let seen = ObservedLease { version: 7, row: lease, since: at(10_000) };
     let me = NodeId::from("me");
-    let take = |word, now| takeover_on_word(Some(&seen), word, &me, TERMS, at(now));
-    let quiet = TERMS.quiet.as_millis() as u64;
-    let word = |version| Some(HolderWord { version, ends: at(9_000) });
+    let take = |word, now| takeover_on_announcement(Some(&seen), word, &me, TERMS, at(now));
+    let quiet = TERMS.quiet_period.as_millis() as u64;
+    let word = |version| Some(LeaseAnnouncement { version, ends_at: at(9_000) });
     assert_eq!(take(word(7), 9_000 + quiet - 1), None);
     assert_eq!(take(word(7), 9_000 + quiet).map(|row| row.fence), Some(Fence(4)));
     // It wrote once more after that, or nothing was heard: the row has to be watched.
     assert_eq!(take(word(6), 9_000 + quiet), None);
     assert_eq!(take(None, 9_000 + quiet), None);
     // A row that was given up: its word says when the right was dropped.
-    let given_up = SeenLease { row: LeaseRow { holder: None, ..seen.row.clone() }, ..seen.clone() };
-    let take_freed = |now| takeover_on_word(Some(&given_up), word(7), &me, TERMS, at(now));
+    let given_up =
+        ObservedLease { row: LeaseRow { holder: None, ..seen.row.clone() }, ..seen.clone() };
+    let take_freed = |now| takeover_on_announcement(Some(&given_up), word(7), &me, TERMS, at(now));
     assert_eq!(take_freed(9_000 + quiet - 1), None);
     assert_eq!(take_freed(9_000 + quiet).map(|row| row.fence), Some(Fence(4)));
-    let not_yet = Some(HolderWord { version: 7, ends: at(20_000) });
+    let not_yet = Some(LeaseAnnouncement { version: 7, ends_at: at(20_000) });
     assert_eq!(take(not_yet, 12_000), None);
 }
--- a/trackfrontd/src/serving/gossip.rs
+++ b/trackfrontd/src/serving/gossip.rs
@@ -11,7 +11,7 @@
 
 use parking_lot::Mutex;
 use tokio::time::{Instant, sleep_until, timeout};
-use trackfront_core::lease::HolderWord;
+use trackfront_core::lease::LeaseAnnouncement;
 use trackfront_core::serving::demand::Rate;
 use trackfront_core::serving::request::ModelRef;
 use trackfront_core::units::Moment;
@@ -89,7 +89,7 @@
 /// Whether this node holds the lease on orders, and until when it has the right to give them, for
 /// its digests.
 #[derive(Debug, Default)]
-pub struct Giving(std::sync::atomic::AtomicBool, Mutex<Option<HolderWord>>);
+pub struct Giving(std::sync::atomic::AtomicBool, Mutex<Option<LeaseAnnouncement>>);
 
 impl Giving {
     /// Returns whether it holds the lease.
@@ -104,7 +104,7 @@
 
     /// Notes when its right ends under the version of the lease's row that it wrote last. Others are
     /// told also after it lost the lease: they may take it the sooner.
-    pub fn say(&self, word: HolderWord) {
+    pub fn say(&self, word: LeaseAnnouncement) {
         *self.1.lock() = Some(word);
     }
 
--- a/trackfrontd/src/serving/lease.rs
+++ b/trackfrontd/src/serving/lease.rs
@@ -14,7 +14,8 @@
 use trackfront_adapters::serving_metrics::KindLabel;
 use trackfront_core::ids::{Fence, NodeId, TxnId, draw_id};
 use trackfront_core::lease::{
-    HolderWord, LeaseEvent, LeaseHolder, LeaseRow, LeaseTerms, SeenLease, takeover_on_word,
+    LeaseAnnouncement, LeaseEvent, LeaseHolder, LeaseRow, LeaseTerms, ObservedLease,
+    takeover_on_announcement,
 };
 use trackfront_core::ports::table::commit_settled;
 use trackfront_core::ports::{CommitOutcome, Expect, RowKey, TableError, Transaction, Write};
@@ -77,7 +78,7 @@
     me: NodeId,
     key: RowKey,
     machine: StateMachine<LeaseHolder>,
-    seen: Option<SeenLease>,
+    seen: Option<ObservedLease>,
     looked_at: Option<Moment>,
     vacant_since: Option<Moment>,
     failing_since: Option<Moment>,
@@ -170,7 +171,7 @@
         let applied = self.commit(&row).await == CommitOutcome::Applied;
         if applied {
             // No order was given since the right was dropped, so the quiet time began then.
-            self.giving.say(HolderWord { version, ends: dropped_at });
+            self.giving.say(LeaseAnnouncement { version, ends_at: dropped_at });
             self.node.tell_peers.notify_one();
         }
         log::info!(applied; "order lease given up");
@@ -183,7 +184,7 @@
 
     fn terms(&self) -> LeaseTerms {
         let promised = self.node.settings.load().promises.order_quiet();
-        LeaseTerms { ttl: LEASE_TTL, quiet: promised + QUIET_MARGIN }
+        LeaseTerms { ttl: LEASE_TTL, quiet_period: promised + QUIET_MARGIN }
     }
 
     async fn take(&mut self) -> bool {
@@ -194,7 +195,7 @@
         }
         let now = self.node.now();
         let (seen, word) = (self.seen.as_ref(), self.holders_word());
-        let Some(row) = takeover_on_word(seen, word, &self.me, self.terms(), now) else {
+        let Some(row) = takeover_on_announcement(seen, word, &self.me, self.terms(), now) else {
             let held_by_other = self.seen.as_ref().and_then(|seen| seen.row.holder.as_ref());
             if self.is_holder() && held_by_other.is_some_and(|holder| *holder != self.me) {
                 self.lose("another node has it");
@@ -215,7 +216,7 @@
     }
 
     /// Returns what the node that wrote the row as it was seen last told in its digests.
-    fn holders_word(&self) -> Option<HolderWord> {
+    fn holders_word(&self) -> Option<LeaseAnnouncement> {
         let version = self.seen.as_ref()?.version;
         self.node.peers.lock().holders_word(version)
     }
@@ -233,7 +234,7 @@
             .map_err(|error| TableError::BadAnswer(error.to_string()))?;
         let same = self.seen.as_ref().filter(|seen| seen.version == row.version);
         let since = same.map_or(now, |seen| seen.since);
-        self.seen = Some(SeenLease { version: row.version, row: value, since });
+        self.seen = Some(ObservedLease { version: row.version, row: value, since });
         Ok(())
     }
 
@@ -256,11 +257,11 @@
             }
         }
         let version = self.seen.as_ref().map_or(1, |seen| seen.version + 1);
-        self.seen = Some(SeenLease { version, row, since: sent_at });
+        self.seen = Some(ObservedLease { version, row, since: sent_at });
         self.machine.handle(&LeaseEvent::Written { fence, sent_at });
         let until = sent_at + (LEASE_TTL - LEASE_TTL / 5);
         self.right.set(Some(Right { fence, until }));
-        self.giving.say(HolderWord { version, ends: until });
+        self.giving.say(LeaseAnnouncement { version, ends_at: until });
         true
     }
 
--- a/trackfrontd/src/serving/messages.rs
+++ b/trackfrontd/src/serving/messages.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use trackfront_core::lease::HolderWord;
+use trackfront_core::lease::LeaseAnnouncement;
 use trackfront_core::quota::{Answer, Ask};
 use trackfront_core::serving::crashes::CrashReport;
 use trackfront_core::serving::load::{InFlight, RankInFlight};
@@ -204,19 +204,22 @@
 
 impl ToldRight {
     /// Returns what is told of a right at `now`; `None` for one that was over long before any box started.
-    pub fn of(word: HolderWord, now: Moment) -> Option<Self> {
-        let HolderWord { version, ends } = word;
-        let (left, over) = (ends.since(now).as_millis(), now.since(ends).as_millis());
+    pub fn of(word: LeaseAnnouncement, now: Moment) -> Option<Self> {
+        let LeaseAnnouncement { version, ends_at } = word;
+        let (left, over) = (ends_at.since(now).as_millis(), now.since(ends_at).as_millis());
         let left_ms = i64::try_from(left).ok()? - i64::try_from(over).ok()?;
         Some(Self { version, left_ms })
     }
 
     /// Returns the word as of the moment at which it came. It was said before, so the right ends no
     /// later than that.
-    pub fn word(self, now: Moment) -> HolderWord {
+    pub fn word(self, now: Moment) -> LeaseAnnouncement {
         let left = Duration::from_millis(self.left_ms.max(0).unsigned_abs());
         let over = Duration::from_millis(self.left_ms.min(0).unsigned_abs());
-        HolderWord { version: self.version, ends: Moment((now + left).0.saturating_sub(over)) }
+        LeaseAnnouncement {
+            version: self.version,
+            ends_at: Moment((now + left).0.saturating_sub(over)),
+        }
     }
 }
 
--- a/trackfrontd/src/serving/order_holder.rs
+++ b/trackfrontd/src/serving/order_holder.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-use trackfront_core::lease::HolderWord;
+use trackfront_core::lease::LeaseAnnouncement;
 use trackfront_core::units::Moment;
 
 use super::messages::{ToldGiver, ToldRight};
@@ -17,7 +17,7 @@
 pub struct KnownHolder {
     last: Option<Word>,
     /// What it said of its right, by way of others.
-    relayed_announcement: Option<HolderWord>,
+    relayed_announcement: Option<LeaseAnnouncement>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -54,7 +54,7 @@
     /// Returns what other boxes are told; `right` is what the giver said of its right to this box itself.
     pub fn report(
         &self,
-        right: impl Fn(Ipv4Addr) -> Option<HolderWord>,
+        right: impl Fn(Ipv4Addr) -> Option<LeaseAnnouncement>,
         now: Moment,
     ) -> Option<ToldGiver> {
         let last = self.last.filter(|last| now.since(last.at) < RELAYED_ALIVE_FOR)?;
@@ -73,7 +73,7 @@
     }
 
     /// Returns what was told of the right of who gives orders by way of others.
-    pub fn relayed_announcement(&self) -> Option<HolderWord> {
+    pub fn relayed_announcement(&self) -> Option<LeaseAnnouncement> {
         self.relayed_announcement
     }
 }
--- a/trackfrontd/src/serving/peer_book.rs
+++ b/trackfrontd/src/serving/peer_book.rs
@@ -6,7 +6,7 @@
 
 use rand::Rng;
 use rand::seq::IndexedRandom;
-use trackfront_core::lease::HolderWord;
+use trackfront_core::lease::LeaseAnnouncement;
 use trackfront_core::units::Moment;
 
 use super::delegates::{Halls, ListedBox};
@@ -52,7 +52,7 @@
     heard: Option<Moment>,
     place: ListedBox,
     store_lost: bool,
-    word: Option<HolderWord>,
+    word: Option<LeaseAnnouncement>,
     /// Since when it should speak to this box, as far as that was found out before it was heard.
     expected: Option<Moment>,
     /// Whether it should have spoken to this box and did not.
@@ -423,7 +423,7 @@
 
     /// Returns what the box that wrote a version of the lease's row last said of its right. Each version was written by
     /// one box alone.
-    pub fn holders_word(&self, version: u64) -> Option<HolderWord> {
+    pub fn holders_word(&self, version: u64) -> Option<LeaseAnnouncement> {
         let words = self.peers.values().filter_map(|peer| peer.word);
         let words = words.chain(self.giver.relayed_announcement());
         words.into_iter().find(|word| word.version == version)
--- a/trackfrontd/src/shards/lease.rs
+++ b/trackfrontd/src/shards/lease.rs
@@ -8,7 +8,9 @@
 use statig::blocking::{IntoStateMachineExt, StateMachine};
 use trackfront_core::audit::AuditEvent;
 use trackfront_core::ids::{Fence, ShardId, TxnId};
-use trackfront_core::lease::{LeaseEvent, LeaseHolder, LeaseRow, LeaseState, SeenLease, takeover};
+use trackfront_core::lease::{
+    LeaseEvent, LeaseHolder, LeaseRow, LeaseState, ObservedLease, takeover,
+};
 use trackfront_core::members::rank;
 use trackfront_core::ports::table::commit_settled;
 use trackfront_core::ports::{CommitOutcome, Expect, Row, RowKey, TableError, Transaction, Write};
@@ -37,7 +39,7 @@
     shard: ShardId,
     key: RowKey,
     machine: StateMachine<LeaseHolder>,
-    seen: Option<SeenLease>,
+    seen: Option<ObservedLease>,
     vacant_since: Option<Moment>,
     written_at: Moment,
     held: Option<Fence>,
@@ -200,7 +202,7 @@
         match &self.seen {
             Some(seen) => {
                 let version = seen.version + 1;
-                self.seen = Some(SeenLease { version, row, since: sent_at });
+                self.seen = Some(ObservedLease { version, row, since: sent_at });
                 true
             }
             // The version of a first row is read, since the row may have been deleted before.
@@ -241,7 +243,7 @@
 }
 
 /// Notes a lease's row; a version that was seen before keeps its moment.
-fn seen_lease(row: &Row, before: Option<&SeenLease>, now: Moment) -> Option<SeenLease> {
+fn seen_lease(row: &Row, before: Option<&ObservedLease>, now: Moment) -> Option<ObservedLease> {
     let value: LeaseRow = match serde_json::from_slice(&row.value) {
         Ok(value) => value,
         Err(error) => {
@@ -250,5 +252,5 @@
         }
     };
     let since = before.filter(|before| before.version == row.version).map_or(now, |b| b.since);
-    Some(SeenLease { version: row.version, row: value, since })
+    Some(ObservedLease { version: row.version, row: value, since })
 }
