--- a/trackfront_core/src/serving/choose.rs
+++ b/trackfront_core/src/serving/choice.rs
@@ -9,7 +9,7 @@
 
 use crate::ids::{BackendId, HallName};
 use crate::serving::affinity::{Prefix, PromptMemory};
-use crate::serving::cold::Coldness;
+use crate::serving::cold::ColdState;
 use crate::serving::directory::KnownServer;
 use crate::serving::load::{LoadTracker, RANKS};
 use crate::serving::places::Places;
@@ -55,7 +55,7 @@
     /// Servers that it was sent to already.
     pub tried: &'a [BackendId],
     /// The node's zone.
-    pub zone: &'a HallName,
+    pub hall: &'a HallName,
     /// Where it may be served.
     pub places: Places<'a>,
     /// How long after the node learned that it drains a server may still be sent what no other can answer.
@@ -95,14 +95,14 @@
     /// Engines hold the model, but none the adapter.
     NoAdapter,
     /// Servers offer what is asked for, but none may get anything more before this moment.
-    Shut(Shut),
+    Unavailable(Unavailable),
     /// Every server that offers what is asked for got the request already.
     AllTried,
 }
 
 /// Why a server may get no request now, though it offers what is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ShutCause {
+pub enum UnavailableCause {
     /// It is cold, and bears no more.
     Cold,
     /// It named a limit, which others use.
@@ -111,24 +111,24 @@
     BacksOff,
 }
 
-impl ShutCause {
+impl UnavailableCause {
     /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
-            ShutCause::Cold => "the servers that offer it are cold",
-            ShutCause::Limited => "the servers that offer it take no more a second",
-            ShutCause::BacksOff => "the servers that offer it asked this box to stay away",
+            UnavailableCause::Cold => "the servers that offer it are cold",
+            UnavailableCause::Limited => "the servers that offer it take no more a second",
+            UnavailableCause::BacksOff => "the servers that offer it asked this box to stay away",
         }
     }
 }
 
 /// Until when a server may get no request, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shut {
+pub struct Unavailable {
     /// Until when.
     pub until: Moment,
     /// Why.
-    pub cause: ShutCause,
+    pub cause: UnavailableCause,
 }
 
 impl NoChoice {
@@ -139,7 +139,7 @@
             NoChoice::NotAllowed => "no server stands where it may be served",
             NoChoice::NoModel => "no engine holds the model",
             NoChoice::NoAdapter => "no engine holds the adapter",
-            NoChoice::Shut(shut) => shut.cause.name(),
+            NoChoice::Unavailable(unavailable) => unavailable.cause.name(),
             NoChoice::AllTried => "every server that offers it was asked",
         }
     }
@@ -157,13 +157,13 @@
     fn is_connected(&self, address: &str) -> bool;
 
     /// Returns whether `server` is cold, and whether this box may send to it all the same.
-    fn coldness(&self, server: &KnownServer) -> Coldness;
+    fn cold_state(&self, server: &KnownServer) -> ColdState;
 
     /// Returns since when it has been known that `server` leaves by its own word in an answer.
     fn leaving_since(&self, server: &BackendId) -> Option<Moment>;
 
     /// Returns until when `server` may get nothing by its own word.
-    fn shut(&self, server: &BackendId) -> Option<Shut>;
+    fn unavailable(&self, server: &BackendId) -> Option<Unavailable>;
 }
 
 /// Chooses the server with the shortest estimated time among `servers`.
@@ -183,25 +183,27 @@
             continue;
         }
         if !query.places.allow(&server.entry.zone) {
-            reason = worse(reason, NoChoice::NotAllowed);
+            reason = closer_reason(reason, NoChoice::NotAllowed);
             continue;
         }
-        let coldness = view.coldness(server);
+        let cold_state = view.cold_state(server);
         let lack = match holds(server, query.info.model.as_ref(), view) {
             Ok(()) if query.tried.contains(id) => Some(NoChoice::AllTried),
-            Ok(()) => match coldness {
-                Coldness::Shut(until) => Some(Shut { until, cause: ShutCause::Cold }),
-                Coldness::Warm | Coldness::Open => view.shut(id),
+            Ok(()) => match cold_state {
+                ColdState::Blocked(until) => {
+                    Some(Unavailable { until, cause: UnavailableCause::Cold })
+                }
+                ColdState::Warm | ColdState::Admitting => view.unavailable(id),
             }
-            .map(NoChoice::Shut),
+            .map(NoChoice::Unavailable),
             Err(lack) => Some(lack),
         };
         if let Some(lack) = lack {
-            reason = worse(reason, lack);
+            reason = closer_reason(reason, lack);
             continue;
         }
-        let (mut cost, choice) = judge(query, server, loads, memory, view);
-        if coldness == Coldness::Open {
+        let (mut cost, choice) = estimate(query, server, loads, memory, view);
+        if cold_state == ColdState::Admitting {
             cost += COLD_MS;
         }
         if leaving.is_some() || !server.is_ready() {
@@ -227,17 +229,21 @@
 }
 
 /// The lack that is nearest to an answer explains why there is none.
-fn worse(a: NoChoice, b: NoChoice) -> NoChoice {
+fn closer_reason(a: NoChoice, b: NoChoice) -> NoChoice {
     let nearness = |lack| match lack {
         NoChoice::NoServer => 0,
         NoChoice::NotAllowed => 1,
         NoChoice::NoModel => 2,
         NoChoice::NoAdapter => 3,
-        NoChoice::Shut(_) => 4,
+        NoChoice::Unavailable(_) => 4,
         NoChoice::AllTried => 5,
     };
     match (a, b) {
-        (NoChoice::Shut(first), NoChoice::Shut(other)) if other.until < first.until => b,
+        (NoChoice::Unavailable(first), NoChoice::Unavailable(other))
+            if other.until < first.until =>
+        {
+            b
+        }
         _ if nearness(b) > nearness(a) => b,
         _ => a,
     }
@@ -269,7 +275,7 @@
     }
 }
 
-fn judge(
+fn estimate(
     query: &Query<'_>,
     server: &Arc<KnownServer>,
     loads: &mut LoadTracker,
@@ -310,7 +316,7 @@
         // What the server itself says of its machine is no chance.
         cost += load.mean_call_ms() * (pace - 1.0);
     }
-    if server.entry.zone != *query.zone {
+    if server.entry.zone != *query.hall {
         cost += OTHER_ZONE_MS;
     }
     if !view.is_connected(&server.entry.address) {
--- a/trackfront_core/src/serving/cold.rs
+++ b/trackfront_core/src/serving/cold.rs
@@ -33,14 +33,14 @@
 
 /// By how much the rate may be passed within one second.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdTerms {
+pub struct ColdStartTolerance {
     /// A factor on the rate.
     pub overage: f64,
     /// Requests beside that.
     pub slack: f64,
 }
 
-impl ColdTerms {
+impl ColdStartTolerance {
     /// Returns how many boxes may send to one cold server. Each may send one request more than its part.
     pub fn senders(self, per_s: f64) -> usize {
         let room = self.most(per_s) - per_s;
@@ -61,18 +61,18 @@
 
 /// What this box may do with a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Coldness {
+pub enum ColdState {
     /// It is not cold.
     Warm,
     /// It is cold, and this box may send it a request now.
-    Open,
+    Admitting,
     /// It is cold until then, and this box may not send it anything now.
-    Shut(Moment),
+    Blocked(Moment),
 }
 
 /// The cold servers that this box knows, and its part of what they bear.
 #[derive(Debug, Default)]
-pub struct ColdBook {
+pub struct ColdTracker {
     me: u32,
     /// The boxes by their places on the ring.
     ring: Vec<(u64, u32)>,
@@ -88,7 +88,7 @@
     at: Moment,
 }
 
-impl ColdBook {
+impl ColdTracker {
     /// Learns which boxes there are, this one among them. Before it did, a box sends nothing to cold servers.
     pub fn set_boxes(&mut self, me: u32, boxes: impl Iterator<Item = u32>) {
         self.me = me;
@@ -99,7 +99,7 @@
 
     /// Notes until when a server is cold, by its own word in an answer. A later word goes before an earlier one. Returns
     /// whether that is news.
-    pub fn told(&mut self, server: &BackendId, remaining: Duration, now: Moment) -> bool {
+    pub fn apply_report(&mut self, server: &BackendId, remaining: Duration, now: Moment) -> bool {
         let until = now + remaining;
         let before = self.told.insert(server.clone(), until).unwrap_or_default();
         // Each answer says what is left; the moment is the same but for the way.
@@ -109,31 +109,31 @@
     }
 
     /// Returns until when a server is cold by its word in answers.
-    pub fn told_until(&self, server: &BackendId) -> Option<Moment> {
+    pub fn reported_until(&self, server: &BackendId) -> Option<Moment> {
         self.told.get(server).copied()
     }
 
     /// Returns the servers that are cold by their word in answers.
-    pub fn told_cold(&self, now: Moment) -> impl Iterator<Item = &BackendId> {
+    pub fn reported_cold(&self, now: Moment) -> impl Iterator<Item = &BackendId> {
         let cold = self.told.iter().filter(move |(_, until)| now < **until);
         cold.map(|(server, _)| server)
     }
 
     /// Returns what may be done with a server that is cold until `until`.
-    pub fn judge(
+    pub fn state(
         &self,
         server: &BackendId,
         start: ColdStart,
-        terms: ColdTerms,
+        terms: ColdStartTolerance,
         until: Moment,
         now: Moment,
-    ) -> Coldness {
+    ) -> ColdState {
         if now >= until {
-            return Coldness::Warm;
+            return ColdState::Warm;
         }
         match self.level(server, start, terms, now) {
-            Some(level) if level >= 1.0 => Coldness::Open,
-            _ => Coldness::Shut(until),
+            Some(level) if level >= 1.0 => ColdState::Admitting,
+            _ => ColdState::Blocked(until),
         }
     }
 
@@ -142,7 +142,7 @@
         &mut self,
         server: &BackendId,
         start: ColdStart,
-        terms: ColdTerms,
+        terms: ColdStartTolerance,
         now: Moment,
     ) -> bool {
         let Some(level) = self.level(server, start, terms, now).filter(|level| *level >= 1.0)
@@ -164,7 +164,7 @@
         &self,
         server: &BackendId,
         start: ColdStart,
-        terms: ColdTerms,
+        terms: ColdStartTolerance,
         now: Moment,
     ) -> Option<f64> {
         let senders = terms.senders(start.per_s).min(self.ring.len());
--- a/trackfront_core/src/serving/mod.rs
+++ b/trackfront_core/src/serving/mod.rs
@@ -6,7 +6,7 @@
 
 pub mod adapter_use;
 pub mod affinity;
-pub mod choose;
+pub mod choice;
 pub mod cold;
 pub mod config;
 pub mod crashes;
@@ -21,10 +21,10 @@
 pub mod load;
 pub mod notices;
 pub mod orders;
+pub mod permits;
 pub mod places;
 pub mod planner;
 pub mod request;
 pub mod retry_budget;
 pub mod returns;
 pub mod spread;
-pub mod turns;
--- a/trackfront_core/src/serving/notices.rs
+++ b/trackfront_core/src/serving/notices.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use crate::ids::BackendId;
-use crate::serving::turns::TakenTurn;
+use crate::serving::permits::Permit;
 use crate::units::Moment;
 
 /// How long notices of a server are kept that is not listed: its row may lapse and come back.
@@ -158,7 +158,7 @@
 
     /// Returns whether a server may be sent something now, with a turn there if one was taken: to be looked at last
     /// before a send, since a connection may have been opened or a turn waited for meanwhile.
-    pub fn lets_in(&self, server: &BackendId, turn: Option<TakenTurn>, now: Moment) -> bool {
+    pub fn admits(&self, server: &BackendId, turn: Option<Permit>, now: Moment) -> bool {
         let has_turn = || turn.is_some_and(|turn| turn.is_usable(now));
         let backs_off = self.backs_off_until(server, now).is_some();
         !backs_off && (self.per_s(server).is_none() || has_turn())
--- a/trackfront_core/src/serving/turns.rs
+++ b/trackfront_core/src/serving/permits.rs
@@ -1,4 +1,4 @@
-//! Turns at servers that named a limit: a few requests a second from all boxes together.
+//! Permits at servers that named a limit: a few requests a second from all boxes together.
 //!
 //! One box keeps the count for each server, and whoever wants to send there asks it for a turn, so that any box may use
 //! what the others leave. The keepers of a server are the first two boxes in an order that all boxes find by rendezvous
@@ -6,7 +6,7 @@
 //! boxes gives the part of the limit that is theirs: boxes that are cut apart give no more than the limit together but
 //! for the time until they notice, and then the second keeper's part more.
 //!
-//! Nothing here sends or waits: [`Turns`] is the keeper's side, [`Gates`] that of the boxes that ask.
+//! Nothing here sends or waits: [`PermitIssuer`] is the keeper's side, [`PermitGates`] that of the boxes that ask.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -49,21 +49,21 @@
 
 /// What a keeper says to a box that asks for a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum PermitAnswer {
     /// The box has the turn that comes in so long.
-    In(Duration),
+    GrantedIn(Duration),
     /// The next turn comes later than the box waits, in so long.
     NotBefore(Duration),
 }
 
 /// A turn that a box took.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TakenTurn {
+pub struct Permit {
     /// From when on it may be used.
     pub from: Moment,
 }
 
-impl TakenTurn {
+impl Permit {
     /// Returns whether it may be used at `now`.
     pub fn is_usable(self, now: Moment) -> bool {
         now >= self.from && now.since(self.from) <= TURN_FOR
@@ -72,7 +72,7 @@
 
 /// The turns that one box gives as a keeper.
 #[derive(Debug, Default)]
-pub struct Turns {
+pub struct PermitIssuer {
     /// The next turn at each server, by its place in the order of keepers.
     next: HashMap<u32, Next>,
 }
@@ -96,10 +96,16 @@
     }
 }
 
-impl Turns {
+impl PermitIssuer {
     /// Gives a turn at the server at `place` that takes `per_s` requests a second from the boxes that ask here, if it
     /// comes within `patience`. Before the first one a turn's time passes: what boxes have under way came without any.
-    pub fn ask(&mut self, place: u32, per_s: f64, patience: Duration, now: Moment) -> Turn {
+    pub fn request(
+        &mut self,
+        place: u32,
+        per_s: f64,
+        patience: Duration,
+        now: Moment,
+    ) -> PermitAnswer {
         let apart = Duration::from_secs_f64((1.0 / per_s).min(LONGEST_APART.as_secs_f64()));
         let next = self.next.entry(place).or_insert(Next { at: now + apart, apart });
         let made_up = Moment(now.0.saturating_sub(MADE_UP_FOR));
@@ -107,7 +113,7 @@
         let wait = turn.since(now);
         let is_given = wait <= patience;
         *next = Next { at: if is_given { turn + apart } else { turn }, apart };
-        if is_given { Turn::In(wait) } else { Turn::NotBefore(wait) }
+        if is_given { PermitAnswer::GrantedIn(wait) } else { PermitAnswer::NotBefore(wait) }
     }
 
     /// Forgets servers that nobody has asked for in a while.
@@ -117,69 +123,69 @@
 }
 
 /// Returns how much of a limit a keeper gives a second that reaches `reached` boxes of `all`, itself included in both.
-pub fn kept_rate(limit: f64, reached: usize, all: usize, is_stand_in: bool) -> f64 {
+pub fn coordinator_rate(limit: f64, reached: usize, all: usize, is_standby: bool) -> f64 {
     let part = reached as f64 / all.max(reached).max(1) as f64;
-    let stand_in_part = if is_stand_in { STAND_IN_PART } else { 1.0 };
+    let stand_in_part = if is_standby { STAND_IN_PART } else { 1.0 };
     limit.max(LEAST_PER_S) * part * stand_in_part
 }
 
 /// The box to ask for a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Keeper {
+pub struct Coordinator {
     /// The box, perhaps the own one.
     pub id: BoxId,
     /// Whether it stands in for the first keeper, which does not answer.
-    pub is_stand_in: bool,
+    pub is_standby: bool,
 }
 
 /// What one box knows of when it may send to servers that named a limit, and whom to ask.
 #[derive(Debug, Default)]
-pub struct Gates {
+pub struct PermitGates {
     /// Until when nothing is sent to a server.
-    shut: HashMap<BackendId, Moment>,
+    closed: HashMap<BackendId, Moment>,
     /// Until when a keeper is not asked.
-    silent: HashMap<BoxId, Moment>,
+    unresponsive: HashMap<BoxId, Moment>,
 }
 
-impl Gates {
+impl PermitGates {
     /// Returns until when nothing may be sent to a server; `None` if a turn may be asked for.
-    pub fn shut_until(&self, server: &BackendId, now: Moment) -> Option<Moment> {
-        self.shut.get(server).copied().filter(|until| now < *until)
+    pub fn closed_until(&self, server: &BackendId, now: Moment) -> Option<Moment> {
+        self.closed.get(server).copied().filter(|until| now < *until)
     }
 
     /// Returns the keeper to ask for a turn at a server, of all boxes that may be up; `place` is the server's place in
     /// the order of keepers.
-    pub fn keeper(
+    pub fn coordinator(
         &self,
         place: u32,
         boxes: impl Iterator<Item = BoxId>,
         now: Moment,
-    ) -> Option<Keeper> {
+    ) -> Option<Coordinator> {
         let ranked = keepers(place as usize, boxes);
         let mut ranked = ranked.into_iter().take(2).enumerate();
-        let answers = |id: &BoxId| self.silent.get(id).is_none_or(|until| now >= *until);
+        let answers = |id: &BoxId| self.unresponsive.get(id).is_none_or(|until| now >= *until);
         let (rank, id) = ranked.find(|(_, id)| answers(id))?;
-        Some(Keeper { id, is_stand_in: rank > 0 })
+        Some(Coordinator { id, is_standby: rank > 0 })
     }
 
     /// Notes that the next turn at a server comes in so long.
-    pub fn refused(&mut self, server: &BackendId, wait: Duration, now: Moment) {
-        self.shut.insert(server.clone(), now + wait.clamp(LEAST_SHUT, LONGEST_SHUT));
+    pub fn close(&mut self, server: &BackendId, wait: Duration, now: Moment) {
+        self.closed.insert(server.clone(), now + wait.clamp(LEAST_SHUT, LONGEST_SHUT));
     }
 
     /// Notes that a keeper did not answer.
-    pub fn is_silent(&mut self, keeper: BoxId, now: Moment) {
-        self.silent.insert(keeper, now + SILENT_FOR);
+    pub fn mark_unresponsive(&mut self, keeper: BoxId, now: Moment) {
+        self.unresponsive.insert(keeper, now + SILENT_FOR);
     }
 
     /// Notes that no keeper answers for a server.
-    pub fn nobody_answers(&mut self, server: &BackendId, now: Moment) {
-        self.refused(server, UNKNOWN_WAIT, now);
+    pub fn close_without_coordinator(&mut self, server: &BackendId, now: Moment) {
+        self.close(server, UNKNOWN_WAIT, now);
     }
 
     /// Forgets what is over.
     pub fn forget_old(&mut self, now: Moment) {
-        self.shut.retain(|_, until| now < *until);
-        self.silent.retain(|_, until| now < *until);
+        self.closed.retain(|_, until| now < *until);
+        self.unresponsive.retain(|_, until| now < *until);
     }
 }
--- a/trackfront_core/tests/serving.rs
+++ b/trackfront_core/tests/serving.rs
@@ -24,10 +24,10 @@
     mod notices;
     mod orders;
     mod orders_random;
+    mod permits;
     mod places;
     mod planner;
     mod planner_random;
     mod returns;
     mod spread;
-    mod turns;
 }
--- a/trackfront_core/tests/serving/choice.rs
+++ b/trackfront_core/tests/serving/choice.rs
@@ -4,10 +4,10 @@
 
 use trackfront_core::ids::{BackendId, HallName, RegionName};
 use trackfront_core::serving::affinity::{PromptMemory, prefixes};
-use trackfront_core::serving::choose::{
-    Choice, NoChoice, Query, ServerView, Shut, ShutCause, choose,
+use trackfront_core::serving::choice::{
+    Choice, NoChoice, Query, ServerView, Unavailable, UnavailableCause, choose,
 };
-use trackfront_core::serving::cold::Coldness;
+use trackfront_core::serving::cold::ColdState;
 use trackfront_core::serving::directory::{KnownServer, ServerEntry, ServerState};
 use trackfront_core::serving::load::{AttemptOutcome, LoadTracker, ReportedLoad, Work};
 use trackfront_core::serving::places::{Evacuations, HallWord, Places};
@@ -22,8 +22,8 @@
     withdrawn: HashSet<(String, ModelRef)>,
     added: HashSet<(String, ModelRef)>,
     connected: HashSet<String>,
-    cold: HashMap<String, Coldness>,
-    shut: HashMap<String, Shut>,
+    cold: HashMap<String, ColdState>,
+    unavailable: HashMap<String, Unavailable>,
     leaving: HashMap<String, Moment>,
 }
 
@@ -40,16 +40,16 @@
         self.connected.contains(address)
     }
 
-    fn coldness(&self, server: &KnownServer) -> Coldness {
-        self.cold.get(server.entry.id.as_str()).copied().unwrap_or(Coldness::Warm)
+    fn cold_state(&self, server: &KnownServer) -> ColdState {
+        self.cold.get(server.entry.id.as_str()).copied().unwrap_or(ColdState::Warm)
     }
 
     fn leaving_since(&self, server: &BackendId) -> Option<Moment> {
         self.leaving.get(server.as_str()).copied()
     }
 
-    fn shut(&self, server: &BackendId) -> Option<Shut> {
-        self.shut.get(server.as_str()).copied()
+    fn unavailable(&self, server: &BackendId) -> Option<Unavailable> {
+        self.unavailable.get(server.as_str()).copied()
     }
 }
 
@@ -93,7 +93,7 @@
             prefixes: &found.unwrap_or_default(),
             rank: 1,
             tried: &self.tried,
-            zone: &"a".into(),
+            hall: &"a".into(),
             places: Places {
                 evacuations: &self.evacuations,
                 regions: &self.regions,
@@ -312,14 +312,15 @@
 fn a_cold_server_goes_last_and_gets_nothing_beyond_its_part() {
     let servers = vec![entry("x", &["m"]), entry("y", &["m"])];
     let mut case = case(servers, info(Some(item("m", None)), 100));
-    case.notes.cold.insert("x".into(), Coldness::Open);
+    case.notes.cold.insert("x".into(), ColdState::Admitting);
     assert_eq!(case.chosen(), "y");
     case.busy("y", 9_000);
     assert_eq!(case.chosen(), "x", "the other has much to read");
-    case.notes.cold.insert("x".into(), Coldness::Shut(at(900)));
+    case.notes.cold.insert("x".into(), ColdState::Blocked(at(900)));
     assert_eq!(case.chosen(), "y");
-    case.notes.cold.insert("y".into(), Coldness::Shut(at(700)));
-    let first = NoChoice::Shut(Shut { until: at(700), cause: ShutCause::Cold });
+    case.notes.cold.insert("y".into(), ColdState::Blocked(at(700)));
+    let first =
+        NoChoice::Unavailable(Unavailable { until: at(700), cause: UnavailableCause::Cold });
     assert_eq!(case.choose().unwrap_err(), first, "the first that is warm");
 }
 
@@ -327,12 +328,12 @@
 fn a_server_that_takes_no_more_a_second_is_passed_over_and_the_first_turn_is_told() {
     let servers = vec![entry("x", &["m"]), entry("y", &["m"]), entry("z", &["m"])];
     let mut case = case(servers, info(Some(item("m", None)), 100));
-    let shut = |ms, cause| Shut { until: at(ms), cause };
-    case.notes.shut.insert("x".into(), shut(900, ShutCause::Limited));
+    let unavailable = |ms, cause| Unavailable { until: at(ms), cause };
+    case.notes.unavailable.insert("x".into(), unavailable(900, UnavailableCause::Limited));
     assert_eq!(case.chosen(), "y");
-    case.notes.shut.insert("y".into(), shut(400, ShutCause::Limited));
-    case.notes.cold.insert("z".into(), Coldness::Shut(at(700)));
-    let first = NoChoice::Shut(shut(400, ShutCause::Limited));
+    case.notes.unavailable.insert("y".into(), unavailable(400, UnavailableCause::Limited));
+    case.notes.cold.insert("z".into(), ColdState::Blocked(at(700)));
+    let first = NoChoice::Unavailable(unavailable(400, UnavailableCause::Limited));
     assert_eq!(case.choose().unwrap_err(), first, "whichever is the first to take one");
 }
 
--- a/trackfront_core/tests/serving/cold.rs
+++ b/trackfront_core/tests/serving/cold.rs
@@ -6,22 +6,22 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use trackfront_core::ids::BackendId;
-use trackfront_core::serving::cold::{ColdBook, ColdStart, ColdTerms, Coldness};
+use trackfront_core::serving::cold::{ColdStart, ColdStartTolerance, ColdState, ColdTracker};
 
 use super::support::at;
 
 const START: ColdStart = ColdStart { per_s: 8.7, lasts: Duration::from_secs(3) };
-const TERMS: ColdTerms = ColdTerms { overage: 1.5, slack: 5.0 };
+const TERMS: ColdStartTolerance = ColdStartTolerance { overage: 1.5, slack: 5.0 };
 
 /// What may arrive at one server within one second.
-fn most(start: ColdStart, terms: ColdTerms) -> f64 {
+fn most(start: ColdStart, terms: ColdStartTolerance) -> f64 {
     start.per_s * terms.overage + terms.slack
 }
 
 /// Boxes that each know the first so many of all.
-fn boxes(knows: &[u32]) -> Vec<ColdBook> {
+fn boxes(knows: &[u32]) -> Vec<ColdTracker> {
     let book = |(me, knows): (usize, &u32)| {
-        let mut book = ColdBook::default();
+        let mut book = ColdTracker::default();
         book.set_boxes(me as u32, 0..*knows);
         book
     };
@@ -31,10 +31,10 @@
 /// Asks all boxes again and again for each server. Returns the most arrivals at one server within one second, and
 /// the mean over the servers in a second.
 fn flood(
-    books: &mut [ColdBook],
+    books: &mut [ColdTracker],
     servers: usize,
     start: ColdStart,
-    terms: ColdTerms,
+    terms: ColdStartTolerance,
     seed: u64,
 ) -> (usize, f64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -46,7 +46,7 @@
         for book in books.iter_mut() {
             for (server, id) in ids.iter().enumerate() {
                 let now = at(ms);
-                let may = book.judge(id, start, terms, until, now) == Coldness::Open;
+                let may = book.state(id, start, terms, until, now) == ColdState::Admitting;
                 if rng.random_range(0..3) == 0 && may && book.take(id, start, terms, now) {
                     window[server].push_back(ms);
                     arrivals += 1;
@@ -85,7 +85,7 @@
         [(1.0, 1.0, 1.0), (3.0, 1.2, 0.5), (40.0, 1.1, 0.0), (0.5, 1.5, 5.0)]
     {
         let start = ColdStart { per_s, ..START };
-        let terms = ColdTerms { overage, slack };
+        let terms = ColdStartTolerance { overage, slack };
         for count in [1, 2, 90] {
             let (largest, _) = flood(&mut boxes(&vec![count; count as usize]), 5, start, terms, 7);
             let bound = most(start, terms);
@@ -96,8 +96,8 @@
 
 #[test]
 fn a_box_that_does_not_know_the_others_sends_nothing() {
-    let mut book = ColdBook::default();
-    assert_eq!(book.judge(&"s".into(), START, TERMS, at(500), at(0)), Coldness::Shut(at(500)));
+    let mut book = ColdTracker::default();
+    assert_eq!(book.state(&"s".into(), START, TERMS, at(500), at(0)), ColdState::Blocked(at(500)));
     assert!(!book.take(&"s".into(), START, TERMS, at(0)));
-    assert_eq!(book.judge(&"s".into(), START, TERMS, at(500), at(500)), Coldness::Warm);
+    assert_eq!(book.state(&"s".into(), START, TERMS, at(500), at(500)), ColdState::Warm);
 }
--- a/trackfront_core/tests/serving/notices.rs
+++ b/trackfront_core/tests/serving/notices.rs
@@ -4,7 +4,7 @@
 
 use trackfront_core::ids::BackendId;
 use trackfront_core::serving::notices::{Learned, NamedLimit, Notice, NoticeBook, Source};
-use trackfront_core::serving::turns::TakenTurn;
+use trackfront_core::serving::permits::Permit;
 
 use super::support::at;
 
@@ -41,17 +41,17 @@
 #[test]
 fn a_turn_lets_in_when_it_has_come_until_it_lapses_or_the_server_asks_for_rest() {
     let mut book = NoticeBook::default();
-    let turn = Some(TakenTurn { from: at(1_000) });
-    assert!(book.lets_in(&server(), None, at(0)), "without a limit no turn is needed");
+    let turn = Some(Permit { from: at(1_000) });
+    assert!(book.admits(&server(), None, at(0)), "without a limit no turn is needed");
     book.heard(&server(), &names(NamedLimit::PerSecond(2.0)), answer(0), at(100));
-    assert!(!book.lets_in(&server(), None, at(1_000)));
-    assert!(!book.lets_in(&server(), turn, at(999)), "not yet");
-    assert!(book.lets_in(&server(), turn, at(1_000)));
-    assert!(!book.lets_in(&server(), turn, at(1_400)), "lapsed");
+    assert!(!book.admits(&server(), None, at(1_000)));
+    assert!(!book.admits(&server(), turn, at(999)), "not yet");
+    assert!(book.admits(&server(), turn, at(1_000)));
+    assert!(!book.admits(&server(), turn, at(1_400)), "lapsed");
     let rest = Notice { back_off: Some(Duration::from_secs(3)), ..Notice::default() };
     let refusal = Source { sent: at(1_000), is_answer: false };
     book.heard(&server(), &rest, refusal, at(1_050));
-    assert!(!book.lets_in(&server(), turn, at(1_100)), "asked for rest meanwhile");
+    assert!(!book.admits(&server(), turn, at(1_100)), "asked for rest meanwhile");
 }
 
 #[test]
--- a/trackfront_core/tests/serving/turns.rs
+++ b/trackfront_core/tests/serving/permits.rs
@@ -1,4 +1,4 @@
-//! Turns at a server that named a limit, kept by boxes that ask each other, beside the other way that was weighed: a few
+//! Permits at a server that named a limit, kept by boxes that ask each other, beside the other way that was weighed: a few
 //! boxes that alone send there, each an even part of the limit, as for cold servers.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -8,8 +8,10 @@
 use rand_chacha::ChaCha8Rng;
 use trackfront_core::ids::BackendId;
 use trackfront_core::quota::BoxId;
-use trackfront_core::serving::cold::{ColdBook, ColdStart, ColdTerms, Coldness};
-use trackfront_core::serving::turns::{Gates, Turn, Turns, kept_rate};
+use trackfront_core::serving::cold::{ColdStart, ColdStartTolerance, ColdState, ColdTracker};
+use trackfront_core::serving::permits::{
+    PermitAnswer, PermitGates, PermitIssuer, coordinator_rate,
+};
 use trackfront_core::units::Moment;
 
 use super::support::at;
@@ -88,20 +90,20 @@
 
 /// A few boxes send an even part each.
 struct Senders {
-    books: Vec<ColdBook>,
+    books: Vec<ColdTracker>,
     start: ColdStart,
-    terms: ColdTerms,
+    terms: ColdStartTolerance,
 }
 
 impl Senders {
     fn new(boxes: usize, limit: f64) -> Self {
         let book = |me: usize| {
-            let mut book = ColdBook::default();
+            let mut book = ColdTracker::default();
             book.set_boxes(me as u32, 0..boxes as u32);
             book
         };
         let start = ColdStart { per_s: limit, lasts: Duration::from_secs(3_600) };
-        let terms = ColdTerms { overage: 1.5, slack: 5.0 };
+        let terms = ColdStartTolerance { overage: 1.5, slack: 5.0 };
         Senders { books: (0..boxes).map(book).collect(), start, terms }
     }
 }
@@ -110,7 +112,7 @@
     fn want(&mut self, one: usize, now_ms: u64) -> bool {
         let (book, now) = (&mut self.books[one], at(now_ms));
         let until = now + self.start.lasts;
-        book.judge(&server(), self.start, self.terms, until, now) == Coldness::Open
+        book.state(&server(), self.start, self.terms, until, now) == ColdState::Admitting
             && book.take(&server(), self.start, self.terms, now)
     }
 
@@ -121,16 +123,16 @@
 
 /// Boxes that ask keepers, as the product has them; boxes of different groups do not reach each other.
 struct Keepers {
-    gates: Vec<Gates>,
-    turns: Vec<Turns>,
+    gates: Vec<PermitGates>,
+    turns: Vec<PermitIssuer>,
     limit: f64,
     group: Vec<u32>,
     up: Vec<bool>,
     /// Whether boxes know by now whom they reach.
     knows_groups: bool,
     /// Answers that come back, by when.
-    answers: BTreeMap<u64, Vec<(usize, Option<Turn>, BoxId)>>,
-    /// Turns that come later, by when they do.
+    answers: BTreeMap<u64, Vec<(usize, Option<PermitAnswer>, BoxId)>>,
+    /// Permits that come later, by when they do.
     due: BTreeMap<u64, usize>,
     patience: Duration,
     messages: u64,
@@ -139,8 +141,8 @@
 impl Keepers {
     fn new(boxes: usize, limit: f64) -> Self {
         Keepers {
-            gates: (0..boxes).map(|_| Gates::default()).collect(),
-            turns: (0..boxes).map(|_| Turns::default()).collect(),
+            gates: (0..boxes).map(|_| PermitGates::default()).collect(),
+            turns: (0..boxes).map(|_| PermitIssuer::default()).collect(),
             limit,
             group: vec![0; boxes],
             up: vec![true; boxes],
@@ -162,26 +164,26 @@
         all.filter(|other| !self.knows_groups || self.reaches(one, *other)).collect()
     }
 
-    fn turn(&mut self, keeper: usize, is_stand_in: bool, now: Moment) -> Turn {
+    fn turn(&mut self, keeper: usize, is_standby: bool, now: Moment) -> PermitAnswer {
         let (reached, all) = (self.known_up(keeper).len(), self.gates.len());
-        let per_s = kept_rate(self.limit, reached, all, is_stand_in);
-        self.turns[keeper].ask(PLACE, per_s, self.patience, now)
+        let per_s = coordinator_rate(self.limit, reached, all, is_standby);
+        self.turns[keeper].request(PLACE, per_s, self.patience, now)
     }
 }
 
 impl Way for Keepers {
     fn want(&mut self, one: usize, now_ms: u64) -> bool {
         let now = at(now_ms);
-        if !self.up[one] || self.gates[one].shut_until(&server(), now).is_some() {
+        if !self.up[one] || self.gates[one].closed_until(&server(), now).is_some() {
             return false;
         }
         let boxes = self.known_up(one).into_iter().map(|other| BoxId(other as u32));
-        let Some(keeper) = self.gates[one].keeper(PLACE, boxes, now) else {
-            self.gates[one].nobody_answers(&server(), now);
+        let Some(keeper) = self.gates[one].coordinator(PLACE, boxes, now) else {
+            self.gates[one].close_without_coordinator(&server(), now);
             return false;
         };
         let to = keeper.id.0 as usize;
-        let answer = self.reaches(one, to).then(|| self.turn(to, keeper.is_stand_in, now));
+        let answer = self.reaches(one, to).then(|| self.turn(to, keeper.is_standby, now));
         let (wait_ms, messages) = match (to == one, answer.is_some()) {
             (true, _) => (0, 0),
             (false, true) => (2 * STEP_MS, 2),
@@ -198,12 +200,12 @@
         let mut sent = 0;
         for (one, answer, keeper) in self.answers.remove(&now_ms).unwrap_or_default() {
             match answer {
-                Some(Turn::In(wait)) => {
+                Some(PermitAnswer::GrantedIn(wait)) => {
                     let wait_ms = wait.as_millis() as u64 / STEP_MS * STEP_MS;
                     *self.due.entry(now_ms + wait_ms).or_default() += 1;
                 }
-                Some(Turn::NotBefore(wait)) => self.gates[one].refused(&server(), wait, now),
-                None => self.gates[one].is_silent(keeper, now),
+                Some(PermitAnswer::NotBefore(wait)) => self.gates[one].close(&server(), wait, now),
+                None => self.gates[one].mark_unresponsive(keeper, now),
             }
         }
         while let Some(first) = self.due.first_entry().filter(|first| *first.key() <= now_ms) {
@@ -295,7 +297,8 @@
     for limit in LIMITS {
         let mut way = Keepers::new(6, limit);
         let demand = Demand { one_in: 1, per_s: limit * 3.0 + 5.0 };
-        let first = Gates::default().keeper(PLACE, (0..6).map(BoxId), at(0)).expect("some box");
+        let first =
+            PermitGates::default().coordinator(PLACE, (0..6).map(BoxId), at(0)).expect("some box");
         way.up[first.id.0 as usize] = false;
         let seen = play(&mut way, 6, limit, demand, 1);
         assert!(seen.used >= 0.1, "{limit}: {seen:?}");
@@ -305,50 +308,59 @@
 
 #[test]
 fn a_request_waits_for_a_turn_that_comes_in_time_for_it() {
-    let mut turns = Turns::default();
+    let mut turns = PermitIssuer::default();
     let patience = Duration::from_millis(700);
-    let wait = |turns: &mut Turns, patience, ms| turns.ask(PLACE, 2.0, patience, at(ms));
+    let wait = |turns: &mut PermitIssuer, patience, ms| turns.request(PLACE, 2.0, patience, at(ms));
     // The first turn is half a second away: what is under way came without any.
-    assert_eq!(wait(&mut turns, patience, 0), Turn::In(Duration::from_millis(500)));
-    assert_eq!(wait(&mut turns, patience, 0), Turn::NotBefore(Duration::from_millis(1_000)));
-    assert_eq!(wait(&mut turns, patience, 400), Turn::In(Duration::from_millis(600)));
+    assert_eq!(wait(&mut turns, patience, 0), PermitAnswer::GrantedIn(Duration::from_millis(500)));
+    assert_eq!(
+        wait(&mut turns, patience, 0),
+        PermitAnswer::NotBefore(Duration::from_millis(1_000))
+    );
+    assert_eq!(
+        wait(&mut turns, patience, 400),
+        PermitAnswer::GrantedIn(Duration::from_millis(600))
+    );
     assert_eq!(
         wait(&mut turns, Duration::ZERO, 1_400),
-        Turn::NotBefore(Duration::from_millis(100))
+        PermitAnswer::NotBefore(Duration::from_millis(100))
     );
     // Of turns that nobody took only the last tenth of a second is made up for.
-    assert_eq!(wait(&mut turns, Duration::ZERO, 9_000), Turn::In(Duration::ZERO));
+    assert_eq!(wait(&mut turns, Duration::ZERO, 9_000), PermitAnswer::GrantedIn(Duration::ZERO));
     assert_eq!(
         wait(&mut turns, Duration::ZERO, 9_300),
-        Turn::NotBefore(Duration::from_millis(100))
+        PermitAnswer::NotBefore(Duration::from_millis(100))
     );
 }
 
 /// Guards against a keeper that was alone for a while, or had a low limit, and gives nothing for long after that is over.
 #[test]
 fn what_is_left_of_a_wait_is_as_many_turns_at_another_rate() {
-    let mut turns = Turns::default();
-    let alone = kept_rate(0.5, 1, 984, false);
-    assert!(matches!(turns.ask(PLACE, alone, Duration::MAX, at(0)), Turn::In(_)));
+    let mut turns = PermitIssuer::default();
+    let alone = coordinator_rate(0.5, 1, 984, false);
+    assert!(matches!(
+        turns.request(PLACE, alone, Duration::MAX, at(0)),
+        PermitAnswer::GrantedIn(_)
+    ));
     // One turn is given and one passed: two turns are left, at two seconds each once the boxes are together.
-    let together = turns.ask(PLACE, 0.5, Duration::ZERO, at(0));
-    assert_eq!(together, Turn::NotBefore(Duration::from_secs(4)));
+    let together = turns.request(PLACE, 0.5, Duration::ZERO, at(0));
+    assert_eq!(together, PermitAnswer::NotBefore(Duration::from_secs(4)));
     assert_eq!(
-        turns.ask(PLACE, 4.0, Duration::ZERO, at(2_000)),
-        Turn::NotBefore(Duration::from_millis(250))
+        turns.request(PLACE, 4.0, Duration::ZERO, at(2_000)),
+        PermitAnswer::NotBefore(Duration::from_millis(250))
     );
     assert_eq!(
-        turns.ask(PLACE, 1.0, Duration::ZERO, at(2_000)),
-        Turn::NotBefore(Duration::from_secs(1))
+        turns.request(PLACE, 1.0, Duration::ZERO, at(2_000)),
+        PermitAnswer::NotBefore(Duration::from_secs(1))
     );
 }
 
 #[test]
 fn a_server_that_wants_nothing_is_still_asked_now_and_then() {
-    let mut turns = Turns::default();
+    let mut turns = PermitIssuer::default();
     let given = (0..60_000).step_by(100).filter(|ms| {
-        let per_s = kept_rate(0.0, 6, 6, false);
-        matches!(turns.ask(PLACE, per_s, Duration::ZERO, at(*ms)), Turn::In(_))
+        let per_s = coordinator_rate(0.0, 6, 6, false);
+        matches!(turns.request(PLACE, per_s, Duration::ZERO, at(*ms)), PermitAnswer::GrantedIn(_))
     });
     assert_eq!(given.count(), 11, "one each five seconds, in a minute");
 }
@@ -356,13 +368,13 @@
 /// Guards against a box that was cut off and stays away from a server for as long as it was told then.
 #[test]
 fn a_gate_is_shut_for_no_longer_than_the_slowest_turns_of_all_boxes_are_apart() {
-    let mut gates = Gates::default();
-    gates.refused(&server(), Duration::from_secs(1_968), at(0));
-    assert_eq!(gates.shut_until(&server(), at(100)), Some(at(5_000)));
-    assert_eq!(gates.shut_until(&server(), at(5_000)), None);
-    gates.refused(&server(), Duration::ZERO, at(6_000));
+    let mut gates = PermitGates::default();
+    gates.close(&server(), Duration::from_secs(1_968), at(0));
+    assert_eq!(gates.closed_until(&server(), at(100)), Some(at(5_000)));
+    assert_eq!(gates.closed_until(&server(), at(5_000)), None);
+    gates.close(&server(), Duration::ZERO, at(6_000));
     assert_eq!(
-        gates.shut_until(&server(), at(6_001)),
+        gates.closed_until(&server(), at(6_001)),
         Some(at(6_020)),
         "others are chosen meanwhile"
     );
@@ -370,20 +382,23 @@
 
 #[test]
 fn keepers_are_the_first_two_that_answer() {
-    let mut gates = Gates::default();
+    let mut gates = PermitGates::default();
     let boxes = || (0..6).map(BoxId);
-    let first = gates.keeper(PLACE, boxes(), at(0)).expect("some box");
-    assert!(!first.is_stand_in);
-    gates.is_silent(first.id, at(0));
-    let second = gates.keeper(PLACE, boxes(), at(10)).expect("some box");
-    assert!(second.is_stand_in && second.id != first.id);
-    gates.is_silent(second.id, at(10));
-    assert_eq!(gates.keeper(PLACE, boxes(), at(20)), None, "no third one");
-    assert_eq!(gates.keeper(PLACE, boxes(), at(3_000)).map(|keeper| keeper.id), Some(first.id));
+    let first = gates.coordinator(PLACE, boxes(), at(0)).expect("some box");
+    assert!(!first.is_standby);
+    gates.mark_unresponsive(first.id, at(0));
+    let second = gates.coordinator(PLACE, boxes(), at(10)).expect("some box");
+    assert!(second.is_standby && second.id != first.id);
+    gates.mark_unresponsive(second.id, at(10));
+    assert_eq!(gates.coordinator(PLACE, boxes(), at(20)), None, "no third one");
+    assert_eq!(
+        gates.coordinator(PLACE, boxes(), at(3_000)).map(|keeper| keeper.id),
+        Some(first.id)
+    );
     let others = boxes().filter(|id| *id != first.id);
-    let next = gates.keeper(PLACE, others, at(4_000)).expect("some box");
+    let next = gates.coordinator(PLACE, others, at(4_000)).expect("some box");
     assert_eq!(
-        (next.id, next.is_stand_in),
+        (next.id, next.is_standby),
         (second.id, false),
         "once the first is known to be gone"
     );
--- a/trackfrontd/src/serving/cold.rs
+++ b/trackfrontd/src/serving/cold.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use tokio::time::sleep;
-use trackfront_core::serving::cold::{ColdBook, ColdStart, ColdTerms, Coldness};
+use trackfront_core::serving::cold::{ColdStart, ColdStartTolerance, ColdState, ColdTracker};
 use trackfront_core::serving::directory::KnownServer;
 use trackfront_core::serving::places::Evacuations;
 use trackfront_core::units::Moment;
@@ -20,22 +20,22 @@
     /// What its servers bear after a start; `None` if that is no less than later.
     pub start: Option<ColdStart>,
     /// How far that may be passed.
-    pub terms: ColdTerms,
+    pub terms: ColdStartTolerance,
     /// The servers, and this box's part of what they bear.
-    pub book: &'a ColdBook,
+    pub book: &'a ColdTracker,
     /// The halls that are emptied or came back.
     pub evacuations: &'a Evacuations,
 }
 
 impl ColdView<'_> {
     /// Returns whether a server is cold, and whether this box may send to it.
-    pub fn judge(&self, server: &KnownServer, now: Moment) -> Coldness {
+    pub fn judge(&self, server: &KnownServer, now: Moment) -> ColdState {
         let Some(start) = self.start else {
-            return Coldness::Warm;
+            return ColdState::Warm;
         };
         match self.until(server, start) {
-            Some(until) => self.book.judge(&server.entry.id, start, self.terms, until, now),
-            None => Coldness::Warm,
+            Some(until) => self.book.state(&server.entry.id, start, self.terms, until, now),
+            None => ColdState::Warm,
         }
     }
 
@@ -44,7 +44,7 @@
     fn until(&self, server: &KnownServer, start: ColdStart) -> Option<Moment> {
         let returned = self.evacuations.returned_at(&server.entry.zone);
         let by_hall = returned.map(|at| at + start.lasts);
-        let by_answer = self.book.told_until(&server.entry.id);
+        let by_answer = self.book.reported_until(&server.entry.id);
         server.cold_until().max(by_answer).max(by_hall)
     }
 }
@@ -74,7 +74,7 @@
     let mut book = node.cold.lock();
     let view = ColdView { start, terms, book: &book, evacuations: &evacuations };
     match (view.judge(server, now), start) {
-        (Coldness::Open, Some(start)) => book.take(&server.entry.id, start, terms, now),
-        (coldness, _) => coldness == Coldness::Warm,
+        (ColdState::Admitting, Some(start)) => book.take(&server.entry.id, start, terms, now),
+        (coldness, _) => coldness == ColdState::Warm,
     }
 }
--- a/trackfrontd/src/serving/node.rs
+++ b/trackfrontd/src/serving/node.rs
@@ -15,7 +15,7 @@
 use trackfront_core::ports::{Clock, Knowledge, Table};
 use trackfront_core::serving::adapter_use::AdapterUse;
 use trackfront_core::serving::affinity::PromptMemory;
-use trackfront_core::serving::cold::ColdBook;
+use trackfront_core::serving::cold::ColdTracker;
 use trackfront_core::serving::config::ServingConfig;
 use trackfront_core::serving::crowding::Crowding;
 use trackfront_core::serving::demand::DemandMeter;
@@ -95,7 +95,7 @@
     /// The load of servers.
     pub loads: Mutex<LoadTracker>,
     /// The servers that are cold.
-    pub cold: Mutex<ColdBook>,
+    pub cold: Mutex<ColdTracker>,
     /// What servers said of themselves in their answers.
     pub notices: Mutex<NoticeBook>,
     /// What of that other boxes are yet to be told.
--- a/trackfrontd/src/serving/notices/broadcast.rs
+++ b/trackfrontd/src/serving/notices/broadcast.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 use trackfront_core::ids::BackendId;
-use trackfront_core::serving::cold::ColdBook;
+use trackfront_core::serving::cold::ColdTracker;
 use trackfront_core::serving::notices::{LimitWord, NoticeBook};
 use trackfront_core::units::Moment;
 
@@ -151,7 +151,7 @@
 /// Returns what other boxes are told of a server.
 fn words_on(
     book: &NoticeBook,
-    cold: &ColdBook,
+    cold: &ColdTracker,
     server: &BackendId,
     now: Moment,
 ) -> Vec<ToldNotice> {
@@ -162,7 +162,7 @@
         None => told(SaidNotice::LimitOver, at),
     });
     let leaves = book.leaving_since(server).map(|since| told(SaidNotice::Leaves, since));
-    let cold = cold.told_until(server).map(|until| {
+    let cold = cold.reported_until(server).map(|until| {
         let ms = u32::try_from(until.since(now).as_millis()).unwrap_or(u32::MAX);
         told(SaidNotice::Cold(ms), now)
     });
@@ -181,7 +181,7 @@
     let (cold, book, now) = (node.cold.lock(), node.notices.lock(), node.now());
     let limited = book.limits().map(|(server, _)| server);
     let noticed: BTreeSet<&BackendId> =
-        limited.chain(book.leaving()).chain(cold.told_cold(now)).collect();
+        limited.chain(book.leaving()).chain(cold.reported_cold(now)).collect();
     let words = noticed.into_iter().flat_map(|server| words_on(&book, &cold, server, now));
     Some(words.collect())
 }
--- a/trackfrontd/src/serving/notices/mod.rs
+++ b/trackfrontd/src/serving/notices/mod.rs
@@ -61,7 +61,7 @@
 
 /// Takes in how much longer a server is cold. Returns whether that is news.
 fn note_cold(node: &ServingNode, server: &BackendId, cold_for: Duration, by: &str) -> bool {
-    let is_news = node.cold.lock().told(server, cold_for, node.now());
+    let is_news = node.cold.lock().apply_report(server, cold_for, node.now());
     if is_news {
         log::info!(server:%, ms = cold_for.as_millis() as u64, by; "server cold");
         node.metrics.notices.get_or_create(&KindLabel { kind: COLD }).inc();
--- a/trackfrontd/src/serving/order_task.rs
+++ b/trackfrontd/src/serving/order_task.rs
@@ -15,9 +15,9 @@
 use trackfront_core::serving::orders::{
     EngineOrder, EngineReport, ORDER_TIMEOUT, Operation, OrderAnswer, check,
 };
+use trackfront_core::serving::permits::Permit;
 use trackfront_core::serving::planner::Proposal;
 use trackfront_core::serving::request::ModelRef;
-use trackfront_core::serving::turns::TakenTurn;
 use trackfront_core::units::Moment;
 
 use super::crashes;
@@ -76,7 +76,7 @@
 /// The right to call an engine, with a turn there if it has named a limit.
 #[derive(Clone, Copy)]
 struct CallRight {
-    turn: Option<TakenTurn>,
+    turn: Option<Permit>,
 }
 
 /// Orders that an engine took.
@@ -398,7 +398,7 @@
 
     /// Returns whether a right still stands.
     fn may_call(&self, right: CallRight) -> bool {
-        self.node.notices.lock().lets_in(self.id(), right.turn, self.node.now())
+        self.node.notices.lock().admits(self.id(), right.turn, self.node.now())
     }
 
     /// Hears what the engine says of itself in an answer that is for no client. That it names no limit there says nothing.
--- a/trackfrontd/src/serving/overlay.rs
+++ b/trackfrontd/src/serving/overlay.rs
@@ -5,12 +5,12 @@
 
 use trackfront_adapters::upstream::UpstreamPool;
 use trackfront_core::ids::BackendId;
-use trackfront_core::serving::choose::{ServerView, Shut, ShutCause};
-use trackfront_core::serving::cold::Coldness;
+use trackfront_core::serving::choice::{ServerView, Unavailable, UnavailableCause};
+use trackfront_core::serving::cold::ColdState;
 use trackfront_core::serving::directory::KnownServer;
 use trackfront_core::serving::notices::NoticeBook;
+use trackfront_core::serving::permits::PermitGates;
 use trackfront_core::serving::request::ModelRef;
-use trackfront_core::serving::turns::Gates;
 use trackfront_core::units::Moment;
 
 use super::cold::ColdView;
@@ -124,7 +124,7 @@
     /// What servers said of themselves.
     pub notices: &'a NoticeBook,
     /// When turns may be asked for at servers with a limit; `None` where they are waited for.
-    pub gates: Option<&'a Gates>,
+    pub gates: Option<&'a PermitGates>,
     /// The present moment.
     pub now: Moment,
 }
@@ -146,7 +146,7 @@
         self.pool.is_connected(address)
     }
 
-    fn coldness(&self, server: &KnownServer) -> Coldness {
+    fn cold_state(&self, server: &KnownServer) -> ColdState {
         self.cold.judge(server, self.now)
     }
 
@@ -154,12 +154,12 @@
         self.notices.leaving_since(server)
     }
 
-    fn shut(&self, server: &BackendId) -> Option<Shut> {
+    fn unavailable(&self, server: &BackendId) -> Option<Unavailable> {
         if let Some(until) = self.notices.backs_off_until(server, self.now) {
-            return Some(Shut { until, cause: ShutCause::BacksOff });
+            return Some(Unavailable { until, cause: UnavailableCause::BacksOff });
         }
         self.notices.per_s(server)?;
-        let until = self.gates?.shut_until(server, self.now)?;
-        Some(Shut { until, cause: ShutCause::Limited })
+        let until = self.gates?.closed_until(server, self.now)?;
+        Some(Unavailable { until, cause: UnavailableCause::Limited })
     }
 }
--- a/trackfrontd/src/serving/permits.rs
+++ b/trackfrontd/src/serving/permits.rs
@@ -11,7 +11,9 @@
 use tokio::time::{sleep, timeout};
 use trackfront_core::ids::BackendId;
 use trackfront_core::quota::BoxId;
-use trackfront_core::serving::turns::{Gates, Keeper, TakenTurn, Turn, Turns, kept_rate};
+use trackfront_core::serving::permits::{
+    Coordinator, Permit, PermitAnswer, PermitGates, PermitIssuer, coordinator_rate,
+};
 use trackfront_core::units::Moment;
 
 use super::messages::{AskTurn, Message, ToldTurn};
@@ -24,10 +26,10 @@
 
 /// Turns at servers that named a limit, as one box gives and takes them.
 pub struct ServerPermits {
-    given: Mutex<Turns>,
+    given: Mutex<PermitIssuer>,
     /// When this box may ask for turns.
-    pub gates: Mutex<Gates>,
-    open: Mutex<HashMap<u32, oneshot::Sender<Turn>>>,
+    pub gates: Mutex<PermitGates>,
+    open: Mutex<HashMap<u32, oneshot::Sender<PermitAnswer>>>,
     last_number: AtomicU32,
     to_ask: Mutex<Vec<(Ipv4Addr, AskTurn)>>,
     wake: Notify,
@@ -73,16 +75,16 @@
     node: &ServingNode,
     server: &BackendId,
     patience: Duration,
-) -> Result<Option<TakenTurn>, NoPermit> {
+) -> Result<Option<Permit>, NoPermit> {
     let Some(per_s) = node.notices.lock().per_s(server) else {
         return Ok(None);
     };
     let from = ask(node, server, per_s, patience).await;
-    from.map(|from| Some(TakenTurn { from })).ok_or(NoPermit { per_s })
+    from.map(|from| Some(Permit { from })).ok_or(NoPermit { per_s })
 }
 
 /// Waits until a turn may be used.
-pub async fn wait_until_valid(node: &ServingNode, turn: TakenTurn) {
+pub async fn wait_until_valid(node: &ServingNode, turn: Permit) {
     sleep(turn.from.since(node.now())).await;
 }
 
@@ -98,7 +100,7 @@
     // With a part of the boxes this one would take itself for the keeper.
     let keeper = node.knows_nodes().then(|| keeper(node, place, asked)).flatten();
     let Some(keeper) = keeper else {
-        node.permits.gates.lock().nobody_answers(server, asked);
+        node.permits.gates.lock().close_without_coordinator(server, asked);
         return None;
     };
     let ask = AskTurn {
@@ -106,7 +108,7 @@
         server: place,
         per_s,
         patience_ms: u32::try_from(patience.as_millis()).unwrap_or(u32::MAX),
-        is_stand_in: keeper.is_stand_in,
+        is_stand_in: keeper.is_standby,
     };
     let me = node.settings.load().node.ip;
     let turn = match keeper.id == box_id(me) {
@@ -115,13 +117,13 @@
     };
     let now = node.now();
     match turn {
-        Some(Turn::In(wait)) => Some(now + wait),
-        Some(Turn::NotBefore(wait)) => {
-            node.permits.gates.lock().refused(server, wait, now);
+        Some(PermitAnswer::GrantedIn(wait)) => Some(now + wait),
+        Some(PermitAnswer::NotBefore(wait)) => {
+            node.permits.gates.lock().close(server, wait, now);
             None
         }
         None => {
-            node.permits.gates.lock().is_silent(keeper.id, now);
+            node.permits.gates.lock().mark_unresponsive(keeper.id, now);
             let keeper = Ipv4Addr::from_bits(keeper.id.0);
             log::info!(server:%, keeper:%, is_stand_in = ask.is_stand_in; "no answer for a turn");
             None
@@ -129,15 +131,15 @@
     }
 }
 
-fn keeper(node: &ServingNode, place: u32, now: Moment) -> Option<Keeper> {
+fn keeper(node: &ServingNode, place: u32, now: Moment) -> Option<Coordinator> {
     let me = node.settings.load().node.ip;
     let others = node.peers.lock().reachable(now);
     let boxes = others.into_iter().chain([me]).map(box_id);
-    node.permits.gates.lock().keeper(place, boxes, now)
+    node.permits.gates.lock().coordinator(place, boxes, now)
 }
 
 /// Asks another box; `None` if it does not answer in time.
-async fn ask_box(node: &ServingNode, keeper: BoxId, ask: AskTurn) -> Option<Turn> {
+async fn ask_box(node: &ServingNode, keeper: BoxId, ask: AskTurn) -> Option<PermitAnswer> {
     let (tell, told) = oneshot::channel();
     node.permits.open.lock().insert(ask.number, tell);
     let open = Open { turns: &node.permits, number: ask.number };
@@ -165,15 +167,15 @@
         return;
     }
     let (is_given, wait) = match give(node, ask) {
-        Turn::In(wait) => (true, wait),
-        Turn::NotBefore(wait) => (false, wait),
+        PermitAnswer::GrantedIn(wait) => (true, wait),
+        PermitAnswer::NotBefore(wait) => (false, wait),
     };
     let wait_ms = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
     socket.send_now(&Message::Turn(ToldTurn { number: ask.number, is_given, wait_ms }), from);
 }
 
 /// Gives a turn as the keeper, by the limit that this box knows, or else the one that was named to it.
-fn give(node: &ServingNode, ask: &AskTurn) -> Turn {
+fn give(node: &ServingNode, ask: &AskTurn) -> PermitAnswer {
     let now = node.now();
     let server = node.names.lock().server(ask.server).cloned();
     let known = server.and_then(|server| node.notices.lock().per_s(&server));
@@ -181,9 +183,9 @@
         let peers = node.peers.lock();
         (peers.reachable(now).len() + 1, peers.sharing(now))
     };
-    let per_s = kept_rate(known.unwrap_or(ask.per_s), reached, all, ask.is_stand_in);
+    let per_s = coordinator_rate(known.unwrap_or(ask.per_s), reached, all, ask.is_stand_in);
     let patience = Duration::from_millis(u64::from(ask.patience_ms));
-    node.permits.given.lock().ask(ask.server, per_s, patience, now)
+    node.permits.given.lock().request(ask.server, per_s, patience, now)
 }
 
 /// Takes in the answer of a keeper. One that nobody waits for any more is a turn that lapses.
@@ -192,7 +194,8 @@
         return;
     };
     let wait = Duration::from_millis(u64::from(told.wait_ms));
-    let turn = if told.is_given { Turn::In(wait) } else { Turn::NotBefore(wait) };
+    let turn =
+        if told.is_given { PermitAnswer::GrantedIn(wait) } else { PermitAnswer::NotBefore(wait) };
     // Its request may have left in this moment.
     let _ = tell.send(turn);
 }
--- a/trackfrontd/src/serving/pipeline/admission.rs
+++ b/trackfrontd/src/serving/pipeline/admission.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tokio::time::Instant;
-use trackfront_core::serving::choose::Choice;
+use trackfront_core::serving::choice::Choice;
 use trackfront_core::serving::request::Refusal;
 
 use super::{Job, Tries};
--- a/trackfrontd/src/serving/pipeline/attempt.rs
+++ b/trackfrontd/src/serving/pipeline/attempt.rs
@@ -12,13 +12,13 @@
 use trackfront_adapters::serving_metrics::KindLabel;
 use trackfront_adapters::upstream::{SendOptions, UpstreamAnswer, UpstreamError};
 use trackfront_core::ids::RequestId;
-use trackfront_core::serving::choose::Choice;
+use trackfront_core::serving::choice::Choice;
 use trackfront_core::serving::directory::KnownServer;
 use trackfront_core::serving::fingerprint::Fingerprint;
 use trackfront_core::serving::load::{AttemptOutcome, TrackedRequest};
 use trackfront_core::serving::notices::Source;
+use trackfront_core::serving::permits::Permit;
 use trackfront_core::serving::request::ModelRef;
-use trackfront_core::serving::turns::TakenTurn;
 use trackfront_core::units::Moment;
 
 use super::Job;
@@ -134,7 +134,7 @@
     pub async fn send(
         &self,
         choice: &Choice,
-        turn: Option<TakenTurn>,
+        turn: Option<Permit>,
         after_event: Option<&str>,
     ) -> Sent {
         let node = &self.node;
@@ -186,7 +186,7 @@
     fn make(
         &self,
         choice: &Choice,
-        turn: Option<TakenTurn>,
+        turn: Option<Permit>,
         after_event: Option<&str>,
     ) -> Option<Request<Full<Bytes>>> {
         let now = self.node.now();
@@ -208,10 +208,10 @@
 
     /// Returns whether the server may still be sent this request: since it was chosen its hall may have been emptied, it
     /// may have named a limit or asked this box to stay away, and it may have become cold.
-    fn may_reach(&self, server: &KnownServer, turn: Option<TakenTurn>, now: Moment) -> bool {
+    fn may_reach(&self, server: &KnownServer, turn: Option<Permit>, now: Moment) -> bool {
         let is_evacuated = self.node.evacuations.lock().is_evacuated(&server.entry.zone);
         !is_evacuated
-            && self.node.notices.lock().lets_in(&server.entry.id, turn, now)
+            && self.node.notices.lock().admits(&server.entry.id, turn, now)
             && cold::reserve(&self.node, self.cold_start(), server, now)
     }
 
--- a/trackfrontd/src/serving/pipeline/choice.rs
+++ b/trackfrontd/src/serving/pipeline/choice.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use trackfront_core::ids::BackendId;
-use trackfront_core::serving::choose::{Choice, NoChoice, Query, choose};
+use trackfront_core::serving::choice::{Choice, NoChoice, Query, choose};
 use trackfront_core::serving::cold::ColdStart;
 use trackfront_core::serving::directory::KnownServer;
 use trackfront_core::serving::places::{Evacuations, Places};
@@ -36,7 +36,7 @@
             prefixes: &self.prefixes,
             rank: self.rank,
             tried,
-            zone: &settings.node.zone,
+            hall: &settings.node.zone,
             places: self.places(&evacuations, &settings),
             drain_grace: node.drain_grace(),
             drain_end: node.drain_end(),
@@ -75,7 +75,7 @@
                     && !loads.is_paused(id, query.now)
             };
             let some = servers.iter().copied();
-            let some = some_of(some, query.zone, usable, &mut rand::rng());
+            let some = some_of(some, query.hall, usable, &mut rand::rng());
             let found = choose(&query, some, &mut loads, &memory, &view);
             found.or_else(|_| choose(&query, servers, &mut loads, &memory, &view))
         };
--- a/trackfrontd/src/serving/pipeline/hold.rs
+++ b/trackfrontd/src/serving/pipeline/hold.rs
@@ -9,7 +9,7 @@
 
 use tokio::time::{Instant, timeout_at};
 use trackfront_adapters::serving_metrics::KindLabel;
-use trackfront_core::serving::choose::{NoChoice, Shut, ShutCause};
+use trackfront_core::serving::choice::{NoChoice, Unavailable, UnavailableCause};
 use trackfront_core::serving::request::{ModelRef, Refusal};
 use trackfront_core::units::Moment;
 
@@ -88,15 +88,18 @@
         match lack {
             NoChoice::NoModel => Some(ModelRef { model: item.model.clone(), adapter: None }),
             NoChoice::NoAdapter => Some(item.clone()),
-            NoChoice::NoServer | NoChoice::NotAllowed | NoChoice::Shut(_) | NoChoice::AllTried => {
-                None
-            }
+            NoChoice::NoServer
+            | NoChoice::NotAllowed
+            | NoChoice::Unavailable(_)
+            | NoChoice::AllTried => None,
         }
     }
 
     /// Returns how long the request can wait for what is lacking.
     fn wait_for(&self, lack: NoChoice) -> Wait {
-        if let NoChoice::Shut(Shut { until, cause: ShutCause::BacksOff }) = lack {
+        if let NoChoice::Unavailable(Unavailable { until, cause: UnavailableCause::BacksOff }) =
+            lack
+        {
             return self.wait_until(until);
         }
         let Some(item) = self.lacking(lack) else {
--- a/trackfrontd/src/serving/pipeline/mod.rs
+++ b/trackfrontd/src/serving/pipeline/mod.rs
@@ -34,7 +34,7 @@
 use trackfront_core::accounts::ClientAccount;
 use trackfront_core::ids::{BackendId, RequestId, ServiceName};
 use trackfront_core::serving::affinity::{Prefix, prefixes};
-use trackfront_core::serving::choose::ShutCause;
+use trackfront_core::serving::choice::UnavailableCause;
 use trackfront_core::serving::config::{Route, ServingConfig};
 use trackfront_core::serving::fingerprint::Fingerprint;
 use trackfront_core::serving::request::{ModelRef, Refusal, RequestInfo};
@@ -253,7 +253,7 @@
                     log_no_turn(&job, &choice, no_turn);
                     continue;
                 }
-                Err(_) => break job.give_up(&tries, ShutCause::Limited.name()),
+                Err(_) => break job.give_up(&tries, UnavailableCause::Limited.name()),
             },
         };
         match job.take_units(&mut tries).await {
--- a/trackfrontd/src/serving/pipeline/permit.rs
+++ b/trackfrontd/src/serving/pipeline/permit.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use trackfront_core::ids::BackendId;
-use trackfront_core::serving::choose::{Choice, NoChoice, Shut, ShutCause};
-use trackfront_core::serving::turns::TakenTurn;
+use trackfront_core::serving::choice::{Choice, NoChoice, Unavailable, UnavailableCause};
+use trackfront_core::serving::permits::Permit;
 
 use super::{Job, Tries};
 use crate::serving::permits::{self, NoPermit};
@@ -20,7 +20,7 @@
     /// The server.
     pub choice: Choice,
     /// The turn.
-    pub turn: Option<TakenTurn>,
+    pub turn: Option<Permit>,
 }
 
 /// Logs that the server that was chosen had no turn.
@@ -35,7 +35,7 @@
         &self,
         choice: &Choice,
         patience: Duration,
-    ) -> Result<Option<TakenTurn>, NoPermit> {
+    ) -> Result<Option<Permit>, NoPermit> {
         permits::acquire(&self.node, &choice.server.entry.id, patience).await
     }
 
@@ -54,7 +54,8 @@
     /// Waits for a turn where all servers that offer what is asked for have none now, if one comes in time for it. One
     /// that is not the first try is not held: its client has waited already.
     pub(super) async fn wait_for_turn(&self, lack: NoChoice, tries: &Tries) -> Option<Chosen> {
-        let NoChoice::Shut(Shut { cause: ShutCause::Limited, until }) = lack else {
+        let NoChoice::Unavailable(Unavailable { cause: UnavailableCause::Limited, until }) = lack
+        else {
             return None;
         };
         if !tries.servers.is_empty() || self.node.is_stopping() {
--- a/trackfrontd/src/serving/pipeline/retry_after.rs
+++ b/trackfrontd/src/serving/pipeline/retry_after.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use trackfront_core::serving::choose::NoChoice;
+use trackfront_core::serving::choice::NoChoice;
 
 use super::{Job, LEAST_RETRY, short_hash};
 
@@ -28,7 +28,7 @@
         let wait = match lack {
             NoChoice::AllTried => return self.come_back_after(self.shut_for()),
             NoChoice::NoServer | NoChoice::NotAllowed => NO_SERVER_RETRY,
-            NoChoice::Shut(shut) => shut.until.since(self.node.now()).max(LEAST_RETRY),
+            NoChoice::Unavailable(shut) => shut.until.since(self.node.now()).max(LEAST_RETRY),
             NoChoice::NoModel => self.model_comes_in().unwrap_or_else(|| self.load_from_now()),
             NoChoice::NoAdapter => ADAPTER_RETRY,
         };
@@ -38,7 +38,7 @@
     /// Returns for how long no server may get the request, as far as servers said so; zero if one may.
     pub(super) fn shut_for(&self) -> Duration {
         match self.choose(&[]) {
-            Err(NoChoice::Shut(shut)) => shut.until.since(self.node.now()),
+            Err(NoChoice::Unavailable(shut)) => shut.until.since(self.node.now()),
             _ => Duration::ZERO,
         }
     }
--- a/trackfrontd/src/serving/settings.rs
+++ b/trackfrontd/src/serving/settings.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 use trackfront_core::ids::{HallName, RegionName};
-use trackfront_core::serving::cold::ColdTerms;
+use trackfront_core::serving::cold::ColdStartTolerance;
 use trackfront_core::serving::freshness::KeyTerms;
 use trackfront_core::serving::orders::LoadTerms;
 use trackfront_core::serving::retry_budget::BudgetTerms;
@@ -209,8 +209,8 @@
     }
 
     /// Returns how far what a cold server bears may be passed.
-    pub fn cold(&self) -> ColdTerms {
-        ColdTerms { overage: self.cold_overage, slack: self.cold_slack }
+    pub fn cold(&self) -> ColdStartTolerance {
+        ColdStartTolerance { overage: self.cold_overage, slack: self.cold_slack }
     }
 
     /// Returns how often a server writes its row.
