--- a/trackfrontd/src/serving/boxes.rs
+++ b/trackfrontd/src/serving/boxes.rs
@@ -20,7 +20,7 @@
 
 use super::delegates::{ListedBox, Strength};
 use super::exchange;
-use super::messages::{Message, ToldBoxes};
+use super::messages::{BoxListUpdate, Message};
 use super::node::{ServingNode, short_zone};
 use super::peer_socket::PeerSocket;
 
@@ -255,16 +255,16 @@
 }
 
 /// Takes in a list that another box read, and hands it on to its part of the hall if it is to.
-pub async fn take_in(node: &ServingNode, socket: &PeerSocket, told: ToldBoxes) {
-    if !note_all(node, &told.boxes) || !told.hand_on {
+pub async fn take_in(node: &ServingNode, socket: &PeerSocket, told: BoxListUpdate) {
+    if !note_all(node, &told.boxes) || !told.forward {
         return;
     }
     let part = {
         let peers = node.peers.lock();
         peers.own_part(node.now())
     };
-    let told = ToldBoxes { hand_on: false, ..told };
-    socket.send(&Message::Boxes(told), &part).await;
+    let told = BoxListUpdate { forward: false, ..told };
+    socket.send(&Message::BoxList(told), &part).await;
 }
 
 /// Learns of all boxes from a list. Returns whether it has this box: no list of its own is needed then.
@@ -327,7 +327,7 @@
         let peers = node.peers.lock();
         (peers.listed(), peers.to_tell_all(node.now()))
     };
-    let told = |hand_on| Message::Boxes(ToldBoxes { boxes: boxes.clone(), hand_on });
+    let told = |forward| Message::BoxList(BoxListUpdate { boxes: boxes.clone(), forward });
     socket.send(&told(true), &all.to_hand_on).await;
     socket.send(&told(false), &all.directly).await;
 }
--- a/trackfrontd/src/serving/crashes/outbox.rs
+++ b/trackfrontd/src/serving/crashes/outbox.rs
@@ -175,11 +175,11 @@
     }
     let all = node.peers.lock().reachable(now);
     for some in for_all.chunks(REPORTS_AT_ONCE) {
-        socket.send(&Message::Crashes(some.to_vec()), &all).await;
+        socket.send(&Message::CrashReports(some.to_vec()), &all).await;
     }
     for (ip, reports) in for_some {
         for some in reports.chunks(REPORTS_AT_ONCE) {
-            socket.send(&Message::Crashes(some.to_vec()), &[ip]).await;
+            socket.send(&Message::CrashReports(some.to_vec()), &[ip]).await;
         }
     }
 }
--- a/trackfrontd/src/serving/exchange.rs
+++ b/trackfrontd/src/serving/exchange.rs
@@ -33,7 +33,7 @@
 use super::crashes;
 use super::delegates::ListedBox;
 use super::follow;
-use super::messages::ToldNotice;
+use super::messages::NoticeRecord;
 use super::newest::NewestRow;
 use super::node::ServingNode;
 use super::notices;
@@ -273,7 +273,7 @@
 }
 
 /// Asks `boxes` for what servers said of themselves.
-pub async fn fetch_notices(node: &ServingNode, boxes: &[Ipv4Addr]) -> Option<Vec<ToldNotice>> {
+pub async fn fetch_notices(node: &ServingNode, boxes: &[Ipv4Addr]) -> Option<Vec<NoticeRecord>> {
     Some(fetch_first(node, boxes, NOTICES_PATH).await?.copy)
 }
 
--- a/trackfrontd/src/serving/gossip.rs
+++ b/trackfrontd/src/serving/gossip.rs
@@ -16,7 +16,7 @@
 use trackfront_core::serving::request::ModelRef;
 use trackfront_core::units::Moment;
 
-use super::messages::{Digest, Message, ToldDemand, ToldNote, ToldRight, ToldShare};
+use super::messages::{DemandReport, Digest, LeaseReport, Message, OverlayEntry, ServerLoadReport};
 use super::node::{ServingNode, short_item, short_server, short_zone};
 use super::overlay::EntryKind;
 use super::peer_book::{ALIVE_FOR, LEAST_GAP};
@@ -109,15 +109,16 @@
     }
 
     /// Returns until when it may give orders, as other boxes are told.
-    pub fn told_right(&self, now: Moment) -> Option<ToldRight> {
-        ToldRight::of((*self.1.lock())?, now)
+    pub fn told_right(&self, now: Moment) -> Option<LeaseReport> {
+        LeaseReport::of((*self.1.lock())?, now)
     }
 }
 
-fn digest(node: &ServingNode, zone: u32, gives_orders: bool, right: Option<ToldRight>) -> Digest {
+fn digest(node: &ServingNode, zone: u32, gives_orders: bool, right: Option<LeaseReport>) -> Digest {
     let loads = node.loads.lock();
     let shares = loads.own_in_flight();
-    let shares = shares.map(|(id, share)| ToldShare::new(short_server(id), &share)).collect();
+    let shares =
+        shares.map(|(id, share)| ServerLoadReport::new(short_server(id), &share)).collect();
     drop(loads);
     // Only the giver's notes are its own; others would repeat them for ever.
     let notes = match gives_orders {
@@ -145,7 +146,7 @@
     }
 }
 
-fn notes(node: &ServingNode) -> Vec<ToldNote> {
+fn notes(node: &ServingNode) -> Vec<OverlayEntry> {
     let overlay = node.overlay.lock();
     let note = |(server, item, kind): (&_, &_, EntryKind)| {
         (short_server(server), short_item(item), kind == EntryKind::Added)
@@ -153,7 +154,7 @@
     overlay.all().map(note).collect()
 }
 
-fn demand(node: &ServingNode, lacks: &BTreeSet<ModelRef>) -> ToldDemand {
+fn demand(node: &ServingNode, lacks: &BTreeSet<ModelRef>) -> DemandReport {
     let own = node.demand.lock().own(node.now());
     let told = |(item, rate): &(_, Rate)| {
         (short_item(item), (rate.requests * 100.0) as u32, rate.work_ms as u32)
@@ -161,7 +162,7 @@
     let adapter_use = node.adapter_use.lock();
     let in_use = adapter_use.own().map(|(server, item)| (short_server(server), short_item(item)));
     let lacks = lacks.iter().map(short_item).collect();
-    ToldDemand { rates: own.iter().map(told).collect(), lacks, in_use: in_use.collect() }
+    DemandReport { rates: own.iter().map(told).collect(), lacks, in_use: in_use.collect() }
 }
 
 /// Hears the other nodes.
@@ -184,23 +185,25 @@
                 pass_on(&node, &socket, ip, &digest.notes).await;
                 take_in(&node, ip, digest);
             }
-            Ok((Message::Notes(notes), _)) => take_notes(&node, &notes),
+            Ok((Message::OverlayEntries(notes), _)) => take_notes(&node, &notes),
             Ok((Message::Demand(told), _)) => take_demand(&node, &socket, ip, &told),
-            Ok((Message::Relay(relay), _)) => relay::take_in(&node, ip, relay),
-            Ok((Message::PackedRelay(packed), _)) => relay::take_in_packed(&node, ip, &packed),
-            Ok((Message::Coming(coming), _)) => missing_items::apply_report(&node, &coming),
-            Ok((Message::Boxes(told), _)) => boxes::take_in(&node, &socket, told).await,
-            Ok((Message::AskNewest(question), _)) => newest::answer(&node, &socket, ip, question),
-            Ok((Message::Newest(told), _)) => newest::take_in(&node, ip, told),
-            Ok((Message::AskQuota(ask), _)) => quota::answer(&node, &socket, ip, &ask),
-            Ok((Message::Quota(answer), _)) => quota::handle_answer(&node, ip, &answer),
-            Ok((Message::Crashes(reports), _)) => crashes::merge_reports(&node, ip, &reports),
+            Ok((Message::FeedUpdate(relay), _)) => relay::take_in(&node, ip, relay),
+            Ok((Message::PackedFeedUpdate(packed), _)) => relay::take_in_packed(&node, ip, &packed),
+            Ok((Message::PendingItems(coming), _)) => missing_items::apply_report(&node, &coming),
+            Ok((Message::BoxList(told), _)) => boxes::take_in(&node, &socket, told).await,
+            Ok((Message::ConfigVersionRequest(question), _)) => {
+                newest::answer(&node, &socket, ip, question)
+            }
+            Ok((Message::ConfigVersionReply(told), _)) => newest::take_in(&node, ip, told),
+            Ok((Message::QuotaRequest(ask), _)) => quota::answer(&node, &socket, ip, &ask),
+            Ok((Message::QuotaReply(answer), _)) => quota::handle_answer(&node, ip, &answer),
+            Ok((Message::CrashReports(reports), _)) => crashes::merge_reports(&node, ip, &reports),
             Ok((Message::ServersEnded(servers), _)) => crashes::merge_ended(&node, &servers),
-            Ok((Message::ServerNotices(told), _)) => {
+            Ok((Message::Notices(told), _)) => {
                 notices::handle_batch(&node, &socket, ip, told).await
             }
-            Ok((Message::AskTurn(ask), _)) => permits::answer(&node, &socket, ip, &ask),
-            Ok((Message::Turn(told), _)) => permits::handle_reply(&node, told),
+            Ok((Message::PermitRequest(ask), _)) => permits::answer(&node, &socket, ip, &ask),
+            Ok((Message::PermitReply(told), _)) => permits::handle_reply(&node, told),
             Err(error) => {
                 let now = node.now();
                 if now.since(reported) > ALIVE_FOR {
@@ -212,7 +215,7 @@
     }
 }
 
-fn take_demand(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, told: &ToldDemand) {
+fn take_demand(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, told: &DemandReport) {
     let names = node.names.lock();
     let rates = told.rates.iter().filter_map(|(item, requests, work_ms)| {
         let rate = Rate { requests: f64::from(*requests) / 100.0, work_ms: f64::from(*work_ms) };
@@ -245,7 +248,7 @@
     take_notes(node, &digest.notes);
 }
 
-fn take_notes(node: &ServingNode, notes: &[ToldNote]) {
+fn take_notes(node: &ServingNode, notes: &[OverlayEntry]) {
     if notes.is_empty() {
         return;
     }
@@ -262,10 +265,10 @@
 }
 
 /// Passes on to this hall what the giver of orders did, if it told only the boxes that speak for their halls.
-async fn pass_on(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, notes: &[ToldNote]) {
+async fn pass_on(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, notes: &[OverlayEntry]) {
     if notes.is_empty() || !node.peers.lock().passes_on(ip) {
         return;
     }
     let mates = node.peers.lock().mates(node.now());
-    socket.send(&Message::Notes(notes.to_vec()), &mates).await;
+    socket.send(&Message::OverlayEntries(notes.to_vec()), &mates).await;
 }
--- a/trackfrontd/src/serving/messages.rs
+++ b/trackfrontd/src/serving/messages.rs
@@ -24,69 +24,69 @@
     /// The load at a node.
     Digest(Digest),
     /// The demand at a node, for the giver of orders.
-    Demand(ToldDemand),
+    Demand(DemandReport),
     /// What a box learned from the platform, for those in its hall.
-    Relay(Relay),
+    FeedUpdate(Relay),
     /// The same, packed.
-    PackedRelay(Vec<u8>),
+    PackedFeedUpdate(Vec<u8>),
     /// Items that are on their way, for a box that lacks them.
-    Coming(Vec<PendingItem>),
+    PendingItems(Vec<PendingItem>),
     /// All boxes that a list had.
-    Boxes(ToldBoxes),
+    BoxList(BoxListUpdate),
     /// A question for the newest row of the configuration.
-    AskNewest(AskNewest),
+    ConfigVersionRequest(ConfigVersionRequest),
     /// The answer to it.
-    Newest(ToldNewest),
+    ConfigVersionReply(ConfigVersionReply),
     /// A question to the keeper of some accounts' limits.
-    AskQuota(Ask),
+    QuotaRequest(Ask),
     /// The answer to it.
-    Quota(Answer),
+    QuotaReply(Answer),
     /// What is known of requests that crash servers.
-    Crashes(Vec<CrashReport>),
+    CrashReports(Vec<CrashReport>),
     /// Servers that have ended, by their short names.
     ServersEnded(Vec<u32>),
     /// What the giver of orders did, passed on by the first box of a hall.
-    Notes(Vec<ToldNote>),
+    OverlayEntries(Vec<OverlayEntry>),
     /// What servers said of themselves.
-    ServerNotices(ToldNotices),
+    Notices(NoticeBatch),
     /// A question to the keeper of a server's turns.
-    AskTurn(AskTurn),
+    PermitRequest(PermitRequest),
     /// The answer to it.
-    Turn(ToldTurn),
+    PermitReply(PermitReply),
 }
 
 /// All boxes that a list had.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldBoxes {
+pub struct BoxListUpdate {
     /// The boxes.
     pub boxes: Vec<ListedBox>,
     /// Whether the box that gets this is to hand it on to its hall.
-    pub hand_on: bool,
+    pub forward: bool,
 }
 
 /// What servers said of themselves.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ToldNotices {
+pub struct NoticeBatch {
     /// What each said.
-    pub notices: Vec<ToldNotice>,
+    pub notices: Vec<NoticeRecord>,
     /// Whether the box that gets this is to hand it on to its hall.
-    pub hand_on: bool,
+    pub forward: bool,
 }
 
 /// What a server said of itself, and how many milliseconds ago.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ToldNotice {
+pub struct NoticeRecord {
     /// The server's short name.
     pub server: u32,
     /// What it said.
-    pub said: SaidNotice,
+    pub said: NoticeKind,
     /// How long ago it last did, in milliseconds.
     pub age_ms: u32,
 }
 
 /// What a server said of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum SaidNotice {
+pub enum NoticeKind {
     /// It leaves.
     Leaves,
     /// It takes so many requests a second from all boxes together.
@@ -99,7 +99,7 @@
 
 /// A question for a turn at a server that named a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AskTurn {
+pub struct PermitRequest {
     /// Which question it is of those of the box that asks.
     pub number: u32,
     /// The server's short name.
@@ -114,7 +114,7 @@
 
 /// The answer to a question for a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldTurn {
+pub struct PermitReply {
     /// The question that this answers.
     pub number: u32,
     /// Whether the box has the turn; else it comes too late.
@@ -124,11 +124,11 @@
 }
 
 /// Something that the giver of orders did: server, item, whether it was added (else withdrawn).
-pub type ToldNote = (u32, u32, bool);
+pub type OverlayEntry = (u32, u32, bool);
 
 /// Who gives orders, as a box last heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldGiver {
+pub struct HolderReport {
     /// Its address.
     pub ip: Ipv4Addr,
     /// Whether it gives orders, by its own word.
@@ -136,19 +136,19 @@
     /// How many milliseconds ago it said so.
     pub age_ms: u32,
     /// Until when it may.
-    pub right: Option<ToldRight>,
+    pub right: Option<LeaseReport>,
 }
 
 /// A question for the newest row of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AskNewest {
+pub struct ConfigVersionRequest {
     /// Which question it is of those of the box that asks.
     pub number: u32,
 }
 
 /// What a box knows of the newest row of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldNewest {
+pub struct ConfigVersionReply {
     /// The question that this answers.
     pub number: u32,
     /// The row that is in force at the box which answers.
@@ -173,18 +173,18 @@
     /// Whether the platform's store last failed the node.
     pub store_lost: bool,
     /// Until when it may give orders, if it held the lease last.
-    pub right: Option<ToldRight>,
+    pub right: Option<LeaseReport>,
     /// Who gives orders, where that is another.
-    pub giver: Option<ToldGiver>,
+    pub giver: Option<HolderReport>,
     /// Requests under way.
-    pub shares: Vec<ToldShare>,
+    pub shares: Vec<ServerLoadReport>,
     /// What it did, if it gives orders.
-    pub notes: Vec<ToldNote>,
+    pub notes: Vec<OverlayEntry>,
 }
 
 /// What a node is asked for.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ToldDemand {
+pub struct DemandReport {
     /// Item, hundredths of requests a second, milliseconds of work a second.
     pub rates: Vec<(u32, u32, u32)>,
     /// Items that were asked for and that no engine holds.
@@ -195,14 +195,14 @@
 
 /// Until when a node may give orders under a version of the lease's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldRight {
+pub struct LeaseReport {
     /// The version of the row.
     pub version: u64,
     /// The milliseconds that are left; negative once they are over.
     pub left_ms: i64,
 }
 
-impl ToldRight {
+impl LeaseReport {
     /// Returns what is told of a right at `now`; `None` for one that was over long before any box started.
     pub fn of(word: LeaseAnnouncement, now: Moment) -> Option<Self> {
         let LeaseAnnouncement { version, ends_at } = word;
@@ -225,16 +225,16 @@
 
 /// What a node has under way at one server.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ToldShare {
+pub struct ServerLoadReport {
     /// The server's short name.
     pub server: u32,
     /// For each rank that has some.
-    pub ranks: Vec<ToldRank>,
+    pub ranks: Vec<RankLoadReport>,
 }
 
 /// What is under way for requests of one rank.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldRank {
+pub struct RankLoadReport {
     /// The rank.
     pub rank: u8,
     /// Requests.
@@ -245,11 +245,11 @@
     pub decode_ms: u32,
 }
 
-impl ToldShare {
+impl ServerLoadReport {
     /// Makes it out of a share, to the millisecond.
     pub fn new(server: u32, share: &InFlight) -> Self {
         let ranks = share.by_rank.iter().enumerate().filter(|(_, one)| one.requests > 0);
-        let told = |(rank, one): (usize, &RankInFlight)| ToldRank {
+        let told = |(rank, one): (usize, &RankInFlight)| RankLoadReport {
             rank: rank as u8,
             requests: one.requests,
             prefill_ms: one.prefill_ms.round() as u32,
--- a/trackfrontd/src/serving/missing_items.rs
+++ b/trackfrontd/src/serving/missing_items.rs
@@ -114,7 +114,7 @@
             }
         }
         for (ip, word) in words {
-            socket.send(&Message::Coming(word), &[ip]).await;
+            socket.send(&Message::PendingItems(word), &[ip]).await;
         }
     }
 }
@@ -134,7 +134,7 @@
         known.extend(word);
     }
     if !known.is_empty() {
-        socket.send_now(&Message::Coming(known), ip);
+        socket.send_now(&Message::PendingItems(known), ip);
     }
 }
 
--- a/trackfrontd/src/serving/newest.rs
+++ b/trackfrontd/src/serving/newest.rs
@@ -16,7 +16,7 @@
 use trackfront_core::serving::freshness::{Freshness, KeyTerms};
 use trackfront_core::units::Moment;
 
-use super::messages::{AskNewest, Message, ToldNewest};
+use super::messages::{ConfigVersionReply, ConfigVersionRequest, Message};
 use super::node::ServingNode;
 use super::peer_socket::PeerSocket;
 use super::spread::{HallMates, hall_mates};
@@ -179,7 +179,7 @@
         return;
     }
     let number = node.newest.questions.lock().ask(node.now());
-    socket.send(&Message::AskNewest(AskNewest { number }), &boxes).await;
+    socket.send(&Message::ConfigVersionRequest(ConfigVersionRequest { number }), &boxes).await;
 }
 
 /// Returns whether this box asks the store: as the reader of its hall; as the first after it, where its answers
@@ -232,16 +232,21 @@
 }
 
 /// Answers a box that asks.
-pub fn answer(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, question: AskNewest) {
+pub fn answer(
+    node: &ServingNode,
+    socket: &PeerSocket,
+    ip: Ipv4Addr,
+    question: ConfigVersionRequest,
+) {
     let Some(NewestRow { row, age_ms }) = node.newest.known(node.now()) else {
         return;
     };
-    let told = ToldNewest { number: question.number, row, age_ms };
-    socket.send_now(&Message::Newest(told), ip);
+    let told = ConfigVersionReply { number: question.number, row, age_ms };
+    socket.send_now(&Message::ConfigVersionReply(told), ip);
 }
 
 /// Takes in the answer of another box.
-pub fn take_in(node: &ServingNode, ip: Ipv4Addr, told: ToldNewest) {
+pub fn take_in(node: &ServingNode, ip: Ipv4Addr, told: ConfigVersionReply) {
     let asked_at = {
         let mut questions = node.newest.questions.lock();
         let asked_at = questions.asked_at(told.number);
--- a/trackfrontd/src/serving/notices/broadcast.rs
+++ b/trackfrontd/src/serving/notices/broadcast.rs
@@ -14,7 +14,7 @@
 use trackfront_core::units::Moment;
 
 use super::{note, note_cold};
-use crate::serving::messages::{Message, SaidNotice, ToldNotice, ToldNotices};
+use crate::serving::messages::{Message, NoticeBatch, NoticeKind, NoticeRecord};
 use crate::serving::node::{ServingNode, short_server};
 use crate::serving::peer_socket::PeerSocket;
 use crate::serving::{boxes, exchange};
@@ -80,7 +80,7 @@
 }
 
 /// Takes in what another box was told by servers.
-fn apply_notices(node: &ServingNode, told: &[ToldNotice], by: &str) {
+fn apply_notices(node: &ServingNode, told: &[NoticeRecord], by: &str) {
     let now = node.now();
     for notice in told {
         let Some(server) = node.names.lock().server(notice.server).cloned() else {
@@ -89,14 +89,14 @@
         let age = Duration::from_millis(u64::from(notice.age_ms));
         let at = Moment(now.0.saturating_sub(age));
         let learned = match notice.said {
-            SaidNotice::Cold(ms) => {
+            NoticeKind::Cold(ms) => {
                 note_cold(node, &server, Duration::from_millis(u64::from(ms)), by);
                 None
             }
-            SaidNotice::Leaves => node.notices.lock().leaves(&server, at),
-            SaidNotice::Limit(per_s) if !per_s.is_finite() || per_s < 0.0 => continue,
-            SaidNotice::Limit(per_s) => node.notices.lock().limit(&server, Some(per_s), at),
-            SaidNotice::LimitOver => node.notices.lock().limit(&server, None, at),
+            NoticeKind::Leaves => node.notices.lock().leaves(&server, at),
+            NoticeKind::Limit(per_s) if !per_s.is_finite() || per_s < 0.0 => continue,
+            NoticeKind::Limit(per_s) => node.notices.lock().limit(&server, Some(per_s), at),
+            NoticeKind::LimitOver => node.notices.lock().limit(&server, None, at),
         };
         learned.into_iter().for_each(|learned| note(node, &server, learned, by));
     }
@@ -117,7 +117,7 @@
         if due.is_empty() {
             continue;
         }
-        let told: Vec<ToldNotice> = {
+        let told: Vec<NoticeRecord> = {
             let (cold, book) = (node.cold.lock(), node.notices.lock());
             due.iter().flat_map(|server| words_on(&book, &cold, server, now)).collect()
         };
@@ -129,9 +129,9 @@
     }
 }
 
-async fn send(socket: &PeerSocket, notices: &[ToldNotice], hand_on: bool, boxes: &[Ipv4Addr]) {
-    let told = ToldNotices { notices: notices.to_vec(), hand_on };
-    socket.send(&Message::ServerNotices(told), boxes).await;
+async fn send(socket: &PeerSocket, notices: &[NoticeRecord], forward: bool, boxes: &[Ipv4Addr]) {
+    let told = NoticeBatch { notices: notices.to_vec(), forward };
+    socket.send(&Message::Notices(told), boxes).await;
 }
 
 /// Takes in what another box tells, and hands it on to this one's part of its hall if it is to.
@@ -139,10 +139,10 @@
     node: &ServingNode,
     socket: &PeerSocket,
     from: Ipv4Addr,
-    told: ToldNotices,
+    told: NoticeBatch,
 ) {
     apply_notices(node, &told.notices, &from.to_string());
-    if told.hand_on {
+    if told.forward {
         let part = node.peers.lock().own_part(node.now());
         send(socket, &told.notices, false, &part).await;
     }
@@ -154,17 +154,17 @@
     cold: &ColdTracker,
     server: &BackendId,
     now: Moment,
-) -> Vec<ToldNotice> {
+) -> Vec<NoticeRecord> {
     let told =
-        |said, at| ToldNotice { server: short_server(server), said, age_ms: age_ms(at, now) };
+        |said, at| NoticeRecord { server: short_server(server), said, age_ms: age_ms(at, now) };
     let limit = book.limit_of(server).map(|LimitWord { per_s, at, .. }| match per_s {
-        Some(per_s) => told(SaidNotice::Limit(per_s), at),
-        None => told(SaidNotice::LimitOver, at),
+        Some(per_s) => told(NoticeKind::Limit(per_s), at),
+        None => told(NoticeKind::LimitOver, at),
     });
-    let leaves = book.leaving_since(server).map(|since| told(SaidNotice::Leaves, since));
+    let leaves = book.leaving_since(server).map(|since| told(NoticeKind::Leaves, since));
     let cold = cold.reported_until(server).map(|until| {
         let ms = u32::try_from(until.since(now).as_millis()).unwrap_or(u32::MAX);
-        told(SaidNotice::Cold(ms), now)
+        told(NoticeKind::Cold(ms), now)
     });
     limit.into_iter().chain(leaves).chain(cold).collect()
 }
@@ -174,7 +174,7 @@
 }
 
 /// Returns what is known of servers, for a box that starts; `None` if this box knows no servers yet.
-pub fn snapshot(node: &ServingNode) -> Option<Vec<ToldNotice>> {
+pub fn snapshot(node: &ServingNode) -> Option<Vec<NoticeRecord>> {
     if !node.knows_servers() {
         return None;
     }
--- a/trackfrontd/src/serving/order_holder.rs
+++ b/trackfrontd/src/serving/order_holder.rs
@@ -6,7 +6,7 @@
 use trackfront_core::lease::LeaseAnnouncement;
 use trackfront_core::units::Moment;
 
-use super::messages::{ToldGiver, ToldRight};
+use super::messages::{HolderReport, LeaseReport};
 use super::peer_book::ALIVE_FOR;
 
 /// How long the giver of orders counts as alive after it spoke, where word of that came by way of another box.
@@ -39,7 +39,7 @@
     }
 
     /// Notes what another box, not the giver itself, told `me` of it.
-    pub fn apply_report(&mut self, told: &ToldGiver, me: Ipv4Addr, now: Moment) {
+    pub fn apply_report(&mut self, told: &HolderReport, me: Ipv4Addr, now: Moment) {
         let right = told.right.map(|right| right.word(now));
         let known = self.relayed_announcement.map_or(0, |right| right.version);
         self.relayed_announcement =
@@ -56,13 +56,13 @@
         &self,
         right: impl Fn(Ipv4Addr) -> Option<LeaseAnnouncement>,
         now: Moment,
-    ) -> Option<ToldGiver> {
+    ) -> Option<HolderReport> {
         let last = self.last.filter(|last| now.since(last.at) < RELAYED_ALIVE_FOR)?;
         let rights = right(last.ip).into_iter().chain(self.relayed_announcement);
         let right = rights.max_by_key(|right| right.version);
-        let right = right.and_then(|right| ToldRight::of(right, now));
+        let right = right.and_then(|right| LeaseReport::of(right, now));
         let age_ms = u32::try_from(now.since(last.at).as_millis()).unwrap_or(u32::MAX);
-        Some(ToldGiver { ip: last.ip, gives: last.gives, age_ms, right })
+        Some(HolderReport { ip: last.ip, gives: last.gives, age_ms, right })
     }
 
     /// Returns the box that gives orders, if it lives by all that was heard.
--- a/trackfrontd/src/serving/peer_book.rs
+++ b/trackfrontd/src/serving/peer_book.rs
@@ -10,7 +10,7 @@
 use trackfront_core::units::Moment;
 
 use super::delegates::{Halls, ListedBox};
-use super::messages::{Digest, ToldGiver};
+use super::messages::{Digest, HolderReport};
 use super::order_holder::KnownHolder;
 
 /// Every how many rounds boxes of other halls are told at the least, where there are many: bytes between halls are
@@ -188,7 +188,7 @@
     }
 
     /// Returns what this box tells others of who gives orders.
-    pub fn told_giver(&self, now: Moment) -> Option<ToldGiver> {
+    pub fn told_giver(&self, now: Moment) -> Option<HolderReport> {
         self.giver.report(|ip| self.peers.get(&ip)?.word, now)
     }
 
--- a/trackfrontd/src/serving/permits.rs
+++ b/trackfrontd/src/serving/permits.rs
@@ -16,7 +16,7 @@
 };
 use trackfront_core::units::Moment;
 
-use super::messages::{AskTurn, Message, ToldTurn};
+use super::messages::{Message, PermitReply, PermitRequest};
 use super::node::{ServingNode, short_server};
 use super::peer_socket::PeerSocket;
 use super::quota::box_id;
@@ -31,7 +31,7 @@
     pub gates: Mutex<PermitGates>,
     open: Mutex<HashMap<u32, oneshot::Sender<PermitAnswer>>>,
     last_number: AtomicU32,
-    to_ask: Mutex<Vec<(Ipv4Addr, AskTurn)>>,
+    to_ask: Mutex<Vec<(Ipv4Addr, PermitRequest)>>,
     wake: Notify,
 }
 
@@ -103,7 +103,7 @@
         node.permits.gates.lock().close_without_coordinator(server, asked);
         return None;
     };
-    let ask = AskTurn {
+    let ask = PermitRequest {
         number: node.permits.last_number.fetch_add(1, Ordering::Relaxed),
         server: place,
         per_s,
@@ -139,7 +139,7 @@
 }
 
 /// Asks another box; `None` if it does not answer in time.
-async fn ask_box(node: &ServingNode, keeper: BoxId, ask: AskTurn) -> Option<PermitAnswer> {
+async fn ask_box(node: &ServingNode, keeper: BoxId, ask: PermitRequest) -> Option<PermitAnswer> {
     let (tell, told) = oneshot::channel();
     node.permits.open.lock().insert(ask.number, tell);
     let open = Open { turns: &node.permits, number: ask.number };
@@ -156,13 +156,13 @@
         node.permits.wake.notified().await;
         let asks = std::mem::take(&mut *node.permits.to_ask.lock());
         for (to, ask) in asks {
-            socket.send_now(&Message::AskTurn(ask), to);
+            socket.send_now(&Message::PermitRequest(ask), to);
         }
     }
 }
 
 /// Answers another box, unless this one does not know which there are.
-pub fn answer(node: &ServingNode, socket: &PeerSocket, from: Ipv4Addr, ask: &AskTurn) {
+pub fn answer(node: &ServingNode, socket: &PeerSocket, from: Ipv4Addr, ask: &PermitRequest) {
     if !node.knows_nodes() || !ask.per_s.is_finite() {
         return;
     }
@@ -171,11 +171,14 @@
         PermitAnswer::NotBefore(wait) => (false, wait),
     };
     let wait_ms = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
-    socket.send_now(&Message::Turn(ToldTurn { number: ask.number, is_given, wait_ms }), from);
+    socket.send_now(
+        &Message::PermitReply(PermitReply { number: ask.number, is_given, wait_ms }),
+        from,
+    );
 }
 
 /// Gives a turn as the keeper, by the limit that this box knows, or else the one that was named to it.
-fn give(node: &ServingNode, ask: &AskTurn) -> PermitAnswer {
+fn give(node: &ServingNode, ask: &PermitRequest) -> PermitAnswer {
     let now = node.now();
     let server = node.names.lock().server(ask.server).cloned();
     let known = server.and_then(|server| node.notices.lock().per_s(&server));
@@ -189,7 +192,7 @@
 }
 
 /// Takes in the answer of a keeper. One that nobody waits for any more is a turn that lapses.
-pub fn handle_reply(node: &ServingNode, told: ToldTurn) {
+pub fn handle_reply(node: &ServingNode, told: PermitReply) {
     let Some(tell) = node.permits.open.lock().remove(&told.number) else {
         return;
     };
--- a/trackfrontd/src/serving/quota.rs
+++ b/trackfrontd/src/serving/quota.rs
@@ -40,7 +40,7 @@
                 knew_all = knows_all;
             }
             for send in node.quotas.questions(now) {
-                socket.send_now(&Message::AskQuota(send.ask), Ipv4Addr::from_bits(send.to.0));
+                socket.send_now(&Message::QuotaRequest(send.ask), Ipv4Addr::from_bits(send.to.0));
             }
         }
         node.quotas.woken().await;
@@ -63,7 +63,7 @@
 /// Answers another box.
 pub fn answer(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, ask: &Ask) {
     if let Some(answer) = node.quotas.answer(box_id(ip), ask, node.now()) {
-        socket.send_now(&Message::Quota(answer), ip);
+        socket.send_now(&Message::QuotaReply(answer), ip);
     }
 }
 
--- a/trackfrontd/src/serving/spread.rs
+++ b/trackfrontd/src/serving/spread.rs
@@ -203,9 +203,9 @@
     // datagram lost, the next brings.
     let words = node.evacuations.lock().words();
     if !words.is_empty() {
-        socket.send(&Message::Relay(Relay::Halls(words)), &mates.others).await;
+        socket.send(&Message::FeedUpdate(Relay::Halls(words)), &mates.others).await;
     }
-    socket.send(&Message::Relay(Relay::Config { row }), &mates.others).await;
+    socket.send(&Message::FeedUpdate(Relay::Config { row }), &mates.others).await;
 }
 
 /// Passes on what came of the servers.
@@ -223,7 +223,7 @@
     for message in told.messages(CHANGES_AT_ONCE) {
         let relay = Relay::servers(message, lapses);
         // Packed, a change has 80 to 160 bytes instead of 200, the fewer the more go together.
-        socket.send(&Message::PackedRelay(pack(&relay).into()), &mates.others).await;
+        socket.send(&Message::PackedFeedUpdate(pack(&relay).into()), &mates.others).await;
     }
 }
 
--- a/trackfrontd/tests/messages.rs
+++ b/trackfrontd/tests/messages.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use trackfront_core::serving::directory::{ResidentModel, ServerChange, ServerEntry, ServerState};
-use trackfrontd::serving::messages::{ToldRank, ToldShare};
+use trackfrontd::serving::messages::{RankLoadReport, ServerLoadReport};
 use trackfrontd::serving::packing::pack;
 use trackfrontd::serving::spread::Relay;
 
@@ -12,14 +12,14 @@
 #[test]
 fn counts_of_requests_that_no_box_can_have_do_not_overflow_their_sums() {
     let ranks = (0..10)
-        .map(|rank| ToldRank {
+        .map(|rank| RankLoadReport {
             rank,
             requests: u32::MAX,
             prefill_ms: u32::MAX,
             decode_ms: u32::MAX,
         })
         .collect();
-    let share = ToldShare { server: 1, ranks }.share();
+    let share = ServerLoadReport { server: 1, ranks }.share();
     assert!(share.requests() < u32::MAX / 1_000, "a thousand boxes may tell that");
 }
 
--- a/trackfrontd/tests/peer_socket.rs
+++ b/trackfrontd/tests/peer_socket.rs
@@ -27,7 +27,7 @@
 
 /// A message of about 10 KB, as changes of servers have unpacked.
 fn large_message() -> Message {
-    Message::PackedRelay(vec![7; 10_000])
+    Message::PackedFeedUpdate(vec![7; 10_000])
 }
 
 fn ip(last: usize) -> Ipv4Addr {
@@ -97,7 +97,7 @@
     // Beyond the burst that goes at once, 0.1 s lie between two datagrams.
     let socket = PeerSocket::bind(ip(201), port, 5.0).await.expect("free");
     for _ in 0..4 {
-        socket.send(&Message::PackedRelay(vec![7; 30_000]), &boxes).await;
+        socket.send(&Message::PackedFeedUpdate(vec![7; 30_000]), &boxes).await;
     }
     sleep(Duration::from_millis(100)).await;
     let seen = seen.lock().clone();
@@ -116,7 +116,7 @@
         busy.send(&large_message(), &boxes).await;
     });
     sleep(Duration::from_millis(50)).await;
-    socket.send_now(&Message::Relay(Relay::Config { row: 1 }), ip(111));
+    socket.send_now(&Message::FeedUpdate(Relay::Config { row: 1 }), ip(111));
     let mut buffer = [0; 64];
     let came = timeout(Duration::from_millis(900), one.recv_from(&mut buffer)).await;
     assert!(came.is_ok(), "it came at once");
