--- a/trackfrontd/src/serving/boxes.rs
+++ b/trackfrontd/src/serving/boxes.rs
@@ -18,7 +18,7 @@
 use trackfront_core::ids::{HallName, TxnId, draw_id};
 use trackfront_core::ports::{CommitOutcome, Expect, Row, RowKey, TableError, Transaction, Write};
 
-use super::delegates::{ListedBox, Strength};
+use super::delegates::{CapacityClass, ListedBox};
 use super::exchange;
 use super::messages::{BoxListUpdate, Message};
 use super::node::{ServingNode, short_zone};
@@ -70,7 +70,7 @@
 #[derive(Serialize, Deserialize)]
 struct BoxRow {
     name: String,
-    strength: Strength,
+    strength: CapacityClass,
 }
 
 /// Within which time boxes of a small hall that come back together pick their moment.
@@ -117,7 +117,7 @@
     loop {
         // What is known already, from the list at the start or from another box, is not listed now.
         if is_known || node.was_told_of_boxes() {
-            let hall = node.peers.lock().hall_mates(node.is_store_lost(), node.now());
+            let hall = node.peers.lock().hall_peers(node.is_store_lost(), node.now());
             sleep(if hall.is_reader() { LIST_EVERY } else { LIST_EVERY * OTHERS_WAIT }).await;
         }
         match list(&node).await {
@@ -240,7 +240,7 @@
 /// that read for their halls get it from the platform. It does not wait for ever.
 pub async fn waits_for_copy(node: &ServingNode) -> bool {
     let age = node.age();
-    let is_reader = node.peers.lock().hall_mates(node.is_store_lost(), node.now()).is_reader();
+    let is_reader = node.peers.lock().hall_peers(node.is_store_lost(), node.now()).is_reader();
     let must_read = is_reader && !node.is_alone_for_now();
     if !node.is_one_of_many() || must_read || age >= START_TIME + COPY_TIME {
         return false;
@@ -316,7 +316,7 @@
     let read = serde_json::from_slice(&row.value).map(|row: BoxRow| row.strength);
     let strength = read.unwrap_or_else(|error| {
         log::warn!(row = row.key.0, error:% = error; "row of a box not understood");
-        Strength::default()
+        CapacityClass::default()
     });
     Some(ListedBox { ip, hall: short_zone(&HallName::from(hall)), strength })
 }
--- a/trackfrontd/src/serving/newest.rs
+++ b/trackfrontd/src/serving/config_freshness.rs
@@ -16,10 +16,10 @@
 use trackfront_core::serving::freshness::{Freshness, KeyTerms};
 use trackfront_core::units::Moment;
 
+use super::feed_relay::{HallPeers, hall_peers};
 use super::messages::{ConfigVersionReply, ConfigVersionRequest, Message};
 use super::node::ServingNode;
 use super::peer_socket::PeerSocket;
-use super::spread::{HallMates, hall_mates};
 
 /// How many questions may be without an answer; older ones are forgotten.
 const OPEN_QUESTIONS: usize = 64;
@@ -38,7 +38,7 @@
 
 /// What one box tells another of how new its configuration is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NewestRow {
+pub struct ConfirmedRow {
     /// The row in force there.
     pub row: u64,
     /// How many milliseconds ago it was the newest for certain.
@@ -47,7 +47,7 @@
 
 /// What a box knows of the age of its configuration, and its open questions.
 #[derive(Debug, Default)]
-pub struct Newest {
+pub struct ConfigFreshness {
     freshness: Mutex<Freshness>,
     questions: Mutex<Questions>,
 }
@@ -77,7 +77,7 @@
     }
 }
 
-impl Newest {
+impl ConfigFreshness {
     /// Notes that the configuration of a row is in force.
     pub fn in_force(&self, row: u64) {
         self.freshness.lock().in_force(row);
@@ -89,16 +89,16 @@
     }
 
     /// Returns what this box can tell others at `now`.
-    pub fn known(&self, now: Moment) -> Option<NewestRow> {
+    pub fn known(&self, now: Moment) -> Option<ConfirmedRow> {
         let freshness = self.freshness.lock();
         let age = freshness.age(now)?;
         // Rounded up: an age that is told too small would lengthen the life of a removed key.
         let age_ms = u32::try_from(age.as_millis() + 1).unwrap_or(u32::MAX);
-        Some(NewestRow { row: freshness.row(), age_ms })
+        Some(ConfirmedRow { row: freshness.row(), age_ms })
     }
 
     /// Takes in what another box told that was asked at `asked_at`.
-    pub fn told(&self, told: NewestRow, asked_at: Moment) {
+    pub fn told(&self, told: ConfirmedRow, asked_at: Moment) {
         let age = Duration::from_millis(u64::from(told.age_ms));
         self.freshness.lock().told(told.row, age, asked_at);
     }
@@ -115,7 +115,7 @@
 }
 
 /// Asks again and again, for as long as the box lives.
-pub async fn keep_newest(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
+pub async fn track_config_freshness(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     let mut store = StoreCheck { node: node.clone(), fails: false };
     let mut was_usable = true;
     let mut waking = node.wakings.follow();
@@ -130,7 +130,7 @@
         // What was found out before a suspension is too old now, and a question that it broke into may stay open.
         waking.take();
         let began = node.now();
-        let mates = hall_mates(&node);
+        let mates = hall_peers(&node);
         let age = node.newest.age(began);
         log_change(&node, terms, age, &mut was_usable);
         ask(&node, &socket, terms, &mates, age).await;
@@ -167,7 +167,7 @@
     node: &ServingNode,
     socket: &PeerSocket,
     terms: KeyTerms,
-    mates: &HallMates,
+    mates: &HallPeers,
     age: Option<Duration>,
 ) {
     let mut boxes: Vec<Ipv4Addr> = mates.reader.into_iter().collect();
@@ -187,7 +187,7 @@
 fn must_ask_store(
     node: &ServingNode,
     terms: KeyTerms,
-    mates: &HallMates,
+    mates: &HallPeers,
     age: Option<Duration>,
 ) -> bool {
     let is_late = age.is_none_or(|age| age >= terms.store_after());
@@ -238,7 +238,7 @@
     ip: Ipv4Addr,
     question: ConfigVersionRequest,
 ) {
-    let Some(NewestRow { row, age_ms }) = node.newest.known(node.now()) else {
+    let Some(ConfirmedRow { row, age_ms }) = node.newest.known(node.now()) else {
         return;
     };
     let told = ConfigVersionReply { number: question.number, row, age_ms };
@@ -256,7 +256,7 @@
     let Some(asked_at) = asked_at else {
         return;
     };
-    node.newest.told(NewestRow { row: told.row, age_ms: told.age_ms }, asked_at);
+    node.newest.told(ConfirmedRow { row: told.row, age_ms: told.age_ms }, asked_at);
     if told.row > node.config_row() {
         node.relayed.lock().note_config(told.row, Some(ip));
         node.relay_came.notify_waiters();
--- a/trackfrontd/src/serving/crashes/rows.rs
+++ b/trackfrontd/src/serving/crashes/rows.rs
@@ -18,7 +18,7 @@
 
 use super::keepers_of;
 use crate::serving::node::ServingNode;
-use crate::serving::{boxes, exchange, spread};
+use crate::serving::{boxes, exchange, feed_relay};
 
 /// The start of the keys of rows.
 const ROW_PREFIX: &str = "crashes/";
@@ -56,7 +56,7 @@
         if let Some(reports) = exchange::fetch_crashes(node, &others).await {
             return apply_loaded(node, reports, "another box");
         }
-        let reads = spread::hall_mates(node).is_reader() || round >= ROUNDS_FOR_READER;
+        let reads = feed_relay::hall_peers(node).is_reader() || round >= ROUNDS_FOR_READER;
         if reads {
             match read_rows(node).await {
                 Ok(reports) => return apply_loaded(node, reports, "the platform's table"),
--- a/trackfrontd/src/serving/delegates.rs
+++ b/trackfrontd/src/serving/delegates.rs
@@ -29,16 +29,16 @@
 const UNIT_MEMORY_MB: f64 = 100.0;
 
 /// A box that goes first in what one box does for all.
-const STRONG: Strength = Strength(2);
+const STRONG: CapacityClass = CapacityClass(2);
 
 /// How much a box can bear, by the scarcest of what it has. Each step is twice the one before, so that boxes which
 /// differ little keep the order of their addresses.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Strength(u8);
+pub struct CapacityClass(u8);
 
-impl Strength {
+impl CapacityClass {
     /// Judges a box by its share of a core, its link and its memory.
     pub fn new(cores: f64, link_mbps: f64, memory_mb: f64) -> Self {
         let parts = [cores / UNIT_CORES, link_mbps / UNIT_LINK_MBPS, memory_mb / UNIT_MEMORY_MB];
@@ -60,12 +60,12 @@
     /// The short name of its hall.
     pub hall: u32,
     /// How much it can bear.
-    pub strength: Strength,
+    pub strength: CapacityClass,
 }
 
 impl ListedBox {
     /// The place in the order in which boxes do work for others.
-    pub fn place(&self) -> (Reverse<Strength>, Ipv4Addr) {
+    pub fn place(&self) -> (Reverse<CapacityClass>, Ipv4Addr) {
         (Reverse(self.strength), self.ip)
     }
 }
--- a/trackfrontd/src/serving/exchange.rs
+++ b/trackfrontd/src/serving/exchange.rs
@@ -30,11 +30,11 @@
 use trackfront_core::serving::places::HallWord;
 use trackfront_core::units::Moment;
 
+use super::config_freshness::ConfirmedRow;
 use super::crashes;
 use super::delegates::ListedBox;
 use super::follow;
 use super::messages::NoticeRecord;
-use super::newest::NewestRow;
 use super::node::ServingNode;
 use super::notices;
 use super::packing::{UnpackError, pack, unpack};
@@ -75,7 +75,7 @@
 
 /// Why a box gave no copy.
 #[derive(Debug, Error)]
-pub enum CopyError {
+pub enum SnapshotError {
     /// It has nothing newer.
     #[error("the box has nothing newer")]
     NothingNewer,
@@ -91,7 +91,7 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct ConfigCopy {
+struct ConfigSnapshot {
     row: u64,
     config: ServingConfig,
     /// What the operator said of halls, as of the moment at which it was packed.
@@ -100,7 +100,7 @@
 
 /// What another box knows more of the servers.
 #[derive(Serialize, Deserialize)]
-pub struct ServersCopy {
+pub struct ServersSnapshot {
     /// The version that it knows.
     pub version: u64,
     /// What leads there.
@@ -163,7 +163,7 @@
 
 /// Adds what this box knows of how new its configuration is.
 fn with_newest(node: &ServingNode, mut copy: Response<Body>) -> Response<Body> {
-    if let Some(NewestRow { row, age_ms }) = node.newest.known(node.now()) {
+    if let Some(ConfirmedRow { row, age_ms }) = node.newest.known(node.now()) {
         let value = format!("{row} {age_ms}");
         let value = HeaderValue::from_str(&value).expect("digits are valid in a header");
         copy.headers_mut().insert(NEWEST_ROW, value);
@@ -172,9 +172,9 @@
 }
 
 /// Reads what [`with_newest`] wrote; `None` from a box of the version before.
-fn read_newest(headers: &HeaderMap) -> Option<NewestRow> {
+fn read_newest(headers: &HeaderMap) -> Option<ConfirmedRow> {
     let (row, age_ms) = headers.get(NEWEST_ROW)?.to_str().ok()?.split_once(' ')?;
-    Some(NewestRow { row: row.parse().ok()?, age_ms: age_ms.parse().ok()? })
+    Some(ConfirmedRow { row: row.parse().ok()?, age_ms: age_ms.parse().ok()? })
 }
 
 fn copy_response(packed: Option<Bytes>) -> Response<Body> {
@@ -193,7 +193,7 @@
     }
     let halls = node.evacuations.lock().words();
     let halls_version = halls.iter().map(|word| word.version).max().unwrap_or(0);
-    let copy = || ConfigCopy { row, config: ServingConfig::clone(&config), halls };
+    let copy = || ConfigSnapshot { row, config: ServingConfig::clone(&config), halls };
     // A whole configuration: what the asker knew makes no difference to it, but what is known of halls does.
     Some(packed(&node.exchange.config, halls_version, row, copy))
 }
@@ -207,7 +207,7 @@
     if known >= version {
         return None;
     }
-    let copy = || ServersCopy { version, update: directory.since(known) };
+    let copy = || ServersSnapshot { version, update: directory.since(known) };
     Some(packed(&node.exchange.servers, known, version, copy))
 }
 
@@ -238,7 +238,7 @@
 ) -> Option<StoredConfig> {
     let path = format!("{CONFIG_PATH}{known}");
     let asked_at = node.now();
-    let Fetched { copy, newest } = fetch_first::<ConfigCopy>(node, boxes, &path).await?;
+    let Fetched { copy, newest } = fetch_first::<ConfigSnapshot>(node, boxes, &path).await?;
     if let Some(newest) = newest {
         node.newest.told(newest, asked_at);
     }
@@ -251,7 +251,7 @@
     node: &ServingNode,
     boxes: &[Ipv4Addr],
     known: u64,
-) -> Option<ServersCopy> {
+) -> Option<ServersSnapshot> {
     Some(fetch_first(node, boxes, &format!("{SERVERS_PATH}{known}")).await?.copy)
 }
 
@@ -281,7 +281,7 @@
 struct Fetched<T> {
     copy: T,
     /// What that box knows of how new its configuration is, if it says so.
-    newest: Option<NewestRow>,
+    newest: Option<ConfirmedRow>,
 }
 
 async fn fetch_first<T: DeserializeOwned>(
@@ -311,7 +311,7 @@
     node: &ServingNode,
     ip: Ipv4Addr,
     path: &str,
-) -> Result<Fetched<T>, CopyError> {
+) -> Result<Fetched<T>, SnapshotError> {
     let address = format!("{ip}:{}", node.settings.load().listen.peers);
     let request = with_body(request(Method::GET, &address, path), Bytes::new())?;
     let answer = node.exchange.client.fetch_large(request, PATIENCE).await?;
@@ -320,7 +320,7 @@
             let copy = unpack::<T, MAX_COPY_BYTES>(&answer.body)?;
             Ok(Fetched { copy, newest: read_newest(&answer.headers) })
         }
-        StatusCode::NO_CONTENT => Err(CopyError::NothingNewer),
-        other => Err(CopyError::BadStatus(other)),
+        StatusCode::NO_CONTENT => Err(SnapshotError::NothingNewer),
+        other => Err(SnapshotError::BadStatus(other)),
     }
 }
--- a/trackfrontd/src/serving/spread.rs
+++ b/trackfrontd/src/serving/feed_relay.rs
@@ -17,8 +17,8 @@
 use super::messages::Message;
 use super::node::ServingNode;
 use super::packing::{pack, unpack};
-pub use super::peer_book::HallMates;
 use super::peer_socket::PeerSocket;
+pub use super::peer_tracker::HallPeers;
 
 /// How long after a reader's last word its hall counts as read, as a part of the time within which
 /// a draining server has to be known.
@@ -45,7 +45,7 @@
 
 /// What a reader learned.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Relay {
+pub enum FeedUpdate {
     /// The newest row of the configuration that the reader has seen.
     Config {
         /// The version of the row.
@@ -77,14 +77,14 @@
     },
 }
 
-impl Relay {
+impl FeedUpdate {
     /// Returns the message that tells changes of servers.
     pub fn servers(told: ToldChanges, lapses: Duration) -> Self {
         let ToldChanges { basis, from, to, changes } = told;
         let lapses_ms = lapses.as_millis() as u64;
         match basis {
-            Basis::Feed => Relay::Servers { from, to, changes, lapses_ms },
-            Basis::Listing => Relay::Listed { from, to, changes, lapses_ms },
+            Basis::Feed => FeedUpdate::Servers { from, to, changes, lapses_ms },
+            Basis::Listing => FeedUpdate::Listed { from, to, changes, lapses_ms },
         }
     }
 }
@@ -100,7 +100,7 @@
 
 /// What came from the feeds, by way of a reader or of this box's own calls.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Relayed {
+pub struct FeedState {
     config_at: Option<Moment>,
     config_row: u64,
     config_from: Option<Ipv4Addr>,
@@ -115,7 +115,7 @@
     told_by: Ipv4Addr,
 }
 
-impl Relayed {
+impl FeedState {
     /// Returns how long nothing came of a feed; `None` if nothing ever did.
     pub fn silence(&self, kind: FeedKind, now: Moment) -> Option<Duration> {
         let heard = match kind {
@@ -179,8 +179,8 @@
 }
 
 /// Returns the boxes of this hall.
-pub fn hall_mates(node: &ServingNode) -> HallMates {
-    node.peers.lock().hall_mates(node.is_store_lost(), node.now())
+pub fn hall_peers(node: &ServingNode) -> HallPeers {
+    node.peers.lock().hall_peers(node.is_store_lost(), node.now())
 }
 
 /// Passes on what the operator wrote: the newest row of the configuration, and the halls, which may be news.
@@ -203,9 +203,9 @@
     // datagram lost, the next brings.
     let words = node.evacuations.lock().words();
     if !words.is_empty() {
-        socket.send(&Message::FeedUpdate(Relay::Halls(words)), &mates.others).await;
+        socket.send(&Message::FeedUpdate(FeedUpdate::Halls(words)), &mates.others).await;
     }
-    socket.send(&Message::FeedUpdate(Relay::Config { row }), &mates.others).await;
+    socket.send(&Message::FeedUpdate(FeedUpdate::Config { row }), &mates.others).await;
 }
 
 /// Passes on what came of the servers.
@@ -221,7 +221,7 @@
     }
     let lapses = node.directory.lock().lapses_for(node.now());
     for message in told.messages(CHANGES_AT_ONCE) {
-        let relay = Relay::servers(message, lapses);
+        let relay = FeedUpdate::servers(message, lapses);
         // Packed, a change has 80 to 160 bytes instead of 200, the fewer the more go together.
         socket.send(&Message::PackedFeedUpdate(pack(&relay).into()), &mates.others).await;
     }
@@ -230,7 +230,7 @@
 /// Returns the boxes to pass on to what came from a feed: that the platform answers, if this box reads for the hall
 /// or the reader fell silent, and what is new in any case. A box that kept news to itself, as its hall had heard
 /// from a reader just before, left 61 others without them for 3.8 to 4.3 s.
-fn must_tell(node: &ServingNode, kind: FeedKind, is_news: bool) -> Option<HallMates> {
+fn must_tell(node: &ServingNode, kind: FeedKind, is_news: bool) -> Option<HallPeers> {
     let now = node.now();
     let drain = node.settings.load().promises.drain();
     let silence = {
@@ -239,7 +239,7 @@
         relayed.note(kind, now);
         silence
     };
-    let mates = hall_mates(node);
+    let mates = hall_peers(node);
     let was_silent = silence.is_some_and(|silence| silence >= fresh_for(drain));
     let tells = mates.is_reader() || was_silent || is_news;
     (tells && !mates.others.is_empty()).then_some(mates)
@@ -247,29 +247,29 @@
 
 /// Takes in what a reader passed on, packed.
 pub fn take_in_packed(node: &ServingNode, from_ip: Ipv4Addr, packed: &[u8]) {
-    match unpack::<Relay, MAX_RELAY_BYTES>(packed) {
+    match unpack::<FeedUpdate, MAX_RELAY_BYTES>(packed) {
         Ok(relay) => take_in(node, from_ip, relay),
         Err(error) => log::warn!(from:% = from_ip, error:% = error; "message not understood"),
     }
 }
 
 /// Takes in what a reader passed on.
-pub fn take_in(node: &ServingNode, from_ip: Ipv4Addr, relay: Relay) {
+pub fn take_in(node: &ServingNode, from_ip: Ipv4Addr, relay: FeedUpdate) {
     let now = node.now();
     match relay {
-        Relay::Config { row } => {
+        FeedUpdate::Config { row } => {
             let mut relayed = node.relayed.lock();
             relayed.note(FeedKind::Config, now);
             relayed.note_config(row, Some(from_ip));
         }
-        Relay::Halls(words) => {
+        FeedUpdate::Halls(words) => {
             follow::note_halls(node, &words, follow::Source::OtherBox);
         }
-        Relay::Servers { from, to, changes, lapses_ms } => {
+        FeedUpdate::Servers { from, to, changes, lapses_ms } => {
             let told = ToldChanges { basis: Basis::Feed, from, to, changes };
             take_servers(node, from_ip, told, Duration::from_millis(lapses_ms));
         }
-        Relay::Listed { from, to, changes, lapses_ms } => {
+        FeedUpdate::Listed { from, to, changes, lapses_ms } => {
             let told = ToldChanges { basis: Basis::Listing, from, to, changes };
             take_servers(node, from_ip, told, Duration::from_millis(lapses_ms));
         }
--- a/trackfrontd/src/serving/follow/config.rs
+++ b/trackfrontd/src/serving/follow/config.rs
@@ -12,10 +12,10 @@
 use super::link::{FIRST_PAUSE, Link};
 use crate::serving::boxes;
 use crate::serving::exchange;
+use crate::serving::feed_relay::{FeedKind, hall_peers, relay_operator};
 use crate::serving::node::ServingNode;
 use crate::serving::peer_socket::PeerSocket;
 use crate::serving::quota;
-use crate::serving::spread::{FeedKind, hall_mates, relay_operator};
 
 /// How long a box that reads for itself alone waits after a change of the configuration, so that
 /// of some in quick succession it reads the last.
@@ -60,7 +60,7 @@
         return false;
     }
     if known > 0 {
-        sleep(ASK_STEP * hall_mates(node).rank as u32).await;
+        sleep(ASK_STEP * hall_peers(node).rank as u32).await;
     }
     let Some(stored) = exchange::fetch_config(node, &sources, known).await else {
         return false;
--- a/trackfrontd/src/serving/follow/link.rs
+++ b/trackfrontd/src/serving/follow/link.rs
@@ -10,9 +10,9 @@
 use trackfront_core::ports::TableError;
 use trackfront_core::units::Moment;
 
+use crate::serving::feed_relay::{FeedKind, HallPeers, fresh_for, hall_peers, successor_wait};
 use crate::serving::node::ServingNode;
-use crate::serving::spread::{FeedKind, HallMates, fresh_for, hall_mates, successor_wait};
-use crate::serving::suspension::Waking;
+use crate::serving::suspension::Suspension;
 
 /// How long one wait for changes lasts where no other box depends on it. The box hears at least
 /// this often that the platform is there, so it bounds how long a lost connection goes unnoticed.
@@ -54,7 +54,7 @@
     kind: FeedKind,
     failures: u32,
     failing_since: Option<Moment>,
-    waking: Waking,
+    waking: Suspension,
 }
 
 impl Link {
@@ -113,14 +113,14 @@
 
     /// Returns whether this box reads for its hall.
     pub fn is_reader(&self) -> bool {
-        hall_mates(&self.node).is_reader()
+        hall_peers(&self.node).is_reader()
     }
 
     /// Returns the boxes that may have what this box lacks: the one that told of it, then the reader and another that
     /// speaks for the hall.
     pub fn sources(&self, told_by: Option<Ipv4Addr>) -> Vec<Ipv4Addr> {
         let mut sources: Vec<Ipv4Addr> = told_by.into_iter().collect();
-        let reader = hall_mates(&self.node).reader;
+        let reader = hall_peers(&self.node).reader;
         let speaker = self.node.peers.lock().some_speaker(&mut rand::rng());
         for ip in reader.into_iter().chain(speaker) {
             if !sources.contains(&ip) {
@@ -158,7 +158,7 @@
     pub async fn wait_for_reader(&self, is_enough: impl Fn() -> bool) {
         loop {
             let came = self.node.relay_came.notified();
-            let mates = hall_mates(&self.node);
+            let mates = hall_peers(&self.node);
             let reads = self.must_read(&mates) && !self.node.is_alone_for_now();
             if reads || is_enough() || self.waking.is_new() {
                 return;
@@ -168,7 +168,7 @@
         }
     }
 
-    fn must_read(&self, mates: &HallMates) -> bool {
+    fn must_read(&self, mates: &HallPeers) -> bool {
         let wait = fresh_for(self.drain()) + successor_wait(mates.rank, self.drain());
         mates.is_reader() || self.silence().is_none_or(|silence| silence >= wait)
     }
@@ -190,7 +190,7 @@
     /// How long this box waits for changes: as a reader for others, who must hear of it before they
     /// take it for lost, or for itself only.
     pub fn feed_wait(&self) -> Duration {
-        if hall_mates(&self.node).others.is_empty() {
+        if hall_peers(&self.node).others.is_empty() {
             return FEED_WAIT;
         }
         let left = fresh_for(self.drain()).saturating_sub(self.silence().unwrap_or_default());
--- a/trackfrontd/src/serving/follow/servers.rs
+++ b/trackfrontd/src/serving/follow/servers.rs
@@ -10,9 +10,9 @@
 use crate::serving::boxes;
 use crate::serving::crashes;
 use crate::serving::exchange;
+use crate::serving::feed_relay::{CHANGES_AT_ONCE, FeedKind, relay_servers};
 use crate::serving::node::ServingNode;
 use crate::serving::peer_socket::PeerSocket;
-use crate::serving::spread::{CHANGES_AT_ONCE, FeedKind, relay_servers};
 
 /// How long the box waits after a change of servers, so that one call brings the changes of many,
 /// as a part of the time within which a draining server has to be known.
--- a/trackfrontd/src/serving/gossip.rs
+++ b/trackfrontd/src/serving/gossip.rs
@@ -16,13 +16,13 @@
 use trackfront_core::serving::request::ModelRef;
 use trackfront_core::units::Moment;
 
+use super::feed_relay as relay;
 use super::messages::{DemandReport, Digest, LeaseReport, Message, OverlayEntry, ServerLoadReport};
 use super::node::{ServingNode, short_item, short_server, short_zone};
 use super::overlay::EntryKind;
-use super::peer_book::{ALIVE_FOR, LEAST_GAP};
 use super::peer_socket::{MAX_DATAGRAM, PeerSocket};
-use super::spread as relay;
-use super::{boxes, crashes, missing_items, newest, notices, permits, quota};
+use super::peer_tracker::{MIN_DIGEST_INTERVAL, PEER_TIMEOUT};
+use super::{boxes, config_freshness, crashes, missing_items, notices, permits, quota};
 
 /// The least time between a digest and one that is sent early for something urgent.
 const URGENT_GAP: Duration = Duration::from_millis(20);
@@ -38,7 +38,11 @@
 const DECODE_LIMIT: usize = 64 * 1024;
 
 /// Tells the other nodes, again and again.
-pub async fn tell(node: Arc<ServingNode>, socket: Arc<PeerSocket>, gives_orders: Arc<Giving>) {
+pub async fn tell(
+    node: Arc<ServingNode>,
+    socket: Arc<PeerSocket>,
+    gives_orders: Arc<HoldsOrderLease>,
+) {
     let settings = node.settings.load_full();
     let zone = short_zone(&settings.node.zone);
     let mut round = 0u64;
@@ -89,9 +93,9 @@
 /// Whether this node holds the lease on orders, and until when it has the right to give them, for
 /// its digests.
 #[derive(Debug, Default)]
-pub struct Giving(std::sync::atomic::AtomicBool, Mutex<Option<LeaseAnnouncement>>);
+pub struct HoldsOrderLease(std::sync::atomic::AtomicBool, Mutex<Option<LeaseAnnouncement>>);
 
-impl Giving {
+impl HoldsOrderLease {
     /// Returns whether it holds the lease.
     pub fn get(&self) -> bool {
         self.0.load(std::sync::atomic::Ordering::Relaxed)
@@ -175,7 +179,7 @@
             Ok(None) => continue,
             Err(error) => {
                 log::debug!(error:% = error; "no datagram received");
-                tokio::time::sleep(LEAST_GAP).await;
+                tokio::time::sleep(MIN_DIGEST_INTERVAL).await;
                 continue;
             }
         };
@@ -192,9 +196,11 @@
             Ok((Message::PendingItems(coming), _)) => missing_items::apply_report(&node, &coming),
             Ok((Message::BoxList(told), _)) => boxes::take_in(&node, &socket, told).await,
             Ok((Message::ConfigVersionRequest(question), _)) => {
-                newest::answer(&node, &socket, ip, question)
+                config_freshness::answer(&node, &socket, ip, question)
+            }
+            Ok((Message::ConfigVersionReply(told), _)) => {
+                config_freshness::take_in(&node, ip, told)
             }
-            Ok((Message::ConfigVersionReply(told), _)) => newest::take_in(&node, ip, told),
             Ok((Message::QuotaRequest(ask), _)) => quota::answer(&node, &socket, ip, &ask),
             Ok((Message::QuotaReply(answer), _)) => quota::handle_answer(&node, ip, &answer),
             Ok((Message::CrashReports(reports), _)) => crashes::merge_reports(&node, ip, &reports),
@@ -206,7 +212,7 @@
             Ok((Message::PermitReply(told), _)) => permits::handle_reply(&node, told),
             Err(error) => {
                 let now = node.now();
-                if now.since(reported) > ALIVE_FOR {
+                if now.since(reported) > PEER_TIMEOUT {
                     log::warn!(from:% = ip, error:% = error; "message not understood");
                     reported = now;
                 }
--- a/trackfrontd/src/serving/lease.rs
+++ b/trackfrontd/src/serving/lease.rs
@@ -21,7 +21,7 @@
 use trackfront_core::ports::{CommitOutcome, Expect, RowKey, TableError, Transaction, Write};
 use trackfront_core::units::Moment;
 
-use super::gossip::Giving;
+use super::gossip::HoldsOrderLease;
 use super::node::ServingNode;
 
 /// The row of the lease.
@@ -83,12 +83,16 @@
     vacant_since: Option<Moment>,
     failing_since: Option<Moment>,
     right: Arc<OrderFence>,
-    giving: Arc<Giving>,
+    giving: Arc<HoldsOrderLease>,
 }
 
 impl OrderLease {
     /// Makes a lease that is not held.
-    pub fn new(node: Arc<ServingNode>, right: Arc<OrderFence>, giving: Arc<Giving>) -> Self {
+    pub fn new(
+        node: Arc<ServingNode>,
+        right: Arc<OrderFence>,
+        giving: Arc<HoldsOrderLease>,
+    ) -> Self {
         // One name for each machine: a process that comes back on it is the same holder.
         let me = NodeId::from(node.settings.load().node.ip.to_string());
         Self {
--- a/trackfrontd/src/serving/messages.rs
+++ b/trackfrontd/src/serving/messages.rs
@@ -10,9 +10,9 @@
 use trackfront_core::serving::load::{InFlight, RankInFlight};
 use trackfront_core::units::Moment;
 
-use super::delegates::{ListedBox, Strength};
+use super::delegates::{CapacityClass, ListedBox};
+use super::feed_relay::FeedUpdate;
 use super::missing_items::PendingItem;
-use super::spread::Relay;
 
 /// How many requests of one rank a box can have under way at a server: more than it takes connections. What
 /// is told beyond that is wrong, and sums over all boxes stay far from the end of their range.
@@ -26,7 +26,7 @@
     /// The demand at a node, for the giver of orders.
     Demand(DemandReport),
     /// What a box learned from the platform, for those in its hall.
-    FeedUpdate(Relay),
+    FeedUpdate(FeedUpdate),
     /// The same, packed.
     PackedFeedUpdate(Vec<u8>),
     /// Items that are on their way, for a box that lacks them.
@@ -163,7 +163,7 @@
     /// The short name of the node's zone.
     pub zone: u32,
     /// How much the node can bear.
-    pub strength: Strength,
+    pub strength: CapacityClass,
     /// The version of the configuration in force.
     pub config: u64,
     /// Whether the node holds the lease on orders.
--- a/trackfrontd/src/serving/node.rs
+++ b/trackfrontd/src/serving/node.rs
@@ -30,18 +30,18 @@
 
 use crate::quotas::Quotas;
 
+use super::config_freshness::ConfigFreshness;
 use super::crashes::Crashes;
 use super::exchange::Exchange;
+use super::feed_relay::FeedState;
 use super::missing_items::MissingItems;
-use super::newest::Newest;
 use super::notices::NoticeOutbox;
 use super::overlay::Overlay;
-use super::peer_book::PeerBook;
+use super::peer_tracker::PeerTracker;
 use super::permits::ServerPermits;
 use super::quota::box_id;
 use super::settings::ServingSettings;
-use super::spread::Relayed;
-use super::suspension::Wakings;
+use super::suspension::Suspensions;
 use super::unusable_rows::UnusableRows;
 
 /// The part of the time that a draining server goes on for, in which it is still sent what no
@@ -87,7 +87,7 @@
     /// The configuration in force.
     pub config: ArcSwapOption<ServingConfig>,
     /// How new it is.
-    pub newest: Newest,
+    pub newest: ConfigFreshness,
     /// The servers.
     pub directory: Mutex<Directory>,
     /// The halls that the operator empties.
@@ -123,9 +123,9 @@
     /// Requests that crash servers.
     pub crashes: Crashes,
     /// The other nodes.
-    pub peers: Mutex<PeerBook>,
+    pub peers: Mutex<PeerTracker>,
     /// What readers of this hall relay from the platform.
-    pub relayed: Mutex<Relayed>,
+    pub relayed: Mutex<FeedState>,
     /// Rows of the platform that name no server.
     pub unusable_rows: UnusableRows,
     /// Copies that boxes give each other.
@@ -133,7 +133,7 @@
     /// Told when something came from a reader.
     pub relay_came: Notify,
     /// Told when the machine was suspended.
-    pub wakings: Wakings,
+    pub wakings: Suspensions,
     /// Short names of servers and items.
     pub names: Mutex<ShortNames>,
     /// Told when servers or notes have changed.
@@ -163,7 +163,7 @@
         let budgets = RetryBudgets::new(settings.promises.budget());
         let directory = Directory::new(settings.promises.heartbeat());
         let started = ports.clock.now();
-        let peers = Mutex::new(PeerBook::new(settings.listed()));
+        let peers = Mutex::new(PeerTracker::new(settings.listed()));
         // Questions of an earlier process at this address had other numbers, those for turns as well.
         let quotas = Quotas::new(box_id(settings.node.ip), rand::random());
         Arc::new(Self {
@@ -172,7 +172,7 @@
             ports,
             metrics: ServingMetrics::default(),
             config: ArcSwapOption::empty(),
-            newest: Newest::default(),
+            newest: ConfigFreshness::default(),
             directory: Mutex::new(directory),
             evacuations: Mutex::default(),
             loads: Mutex::default(),
@@ -193,7 +193,7 @@
             peers,
             relayed: Mutex::default(),
             relay_came: Notify::new(),
-            wakings: Wakings::default(),
+            wakings: Suspensions::default(),
             unusable_rows: UnusableRows::default(),
             exchange: Exchange::default(),
             names: Mutex::default(),
--- a/trackfrontd/src/serving/notices/broadcast.rs
+++ b/trackfrontd/src/serving/notices/broadcast.rs
@@ -24,7 +24,7 @@
 const AGAIN_AFTER: Duration = Duration::from_millis(400);
 
 /// The least time between two words on one server, which may change its mind with each answer.
-const LEAST_GAP: Duration = Duration::from_millis(200);
+const MIN_DIGEST_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long words are gathered before they are told.
 const GATHER: Duration = Duration::from_millis(15);
@@ -54,7 +54,7 @@
     pub(super) fn add(&self, server: &BackendId, now: Moment) {
         let mut waiting = self.waiting.lock();
         let told = waiting.get(server).and_then(|telling| telling.told);
-        let due = told.map_or(now, |told| (told + LEAST_GAP).max(now));
+        let due = told.map_or(now, |told| (told + MIN_DIGEST_INTERVAL).max(now));
         waiting.insert(server.clone(), Telling { left: TIMES, due, told });
         drop(waiting);
         self.wake.notify_one();
--- a/trackfrontd/src/serving/order_holder.rs
+++ b/trackfrontd/src/serving/order_holder.rs
@@ -7,7 +7,7 @@
 use trackfront_core::units::Moment;
 
 use super::messages::{HolderReport, LeaseReport};
-use super::peer_book::ALIVE_FOR;
+use super::peer_tracker::PEER_TIMEOUT;
 
 /// How long the giver of orders counts as alive after it spoke, where word of that came by way of another box.
 const RELAYED_ALIVE_FOR: Duration = Duration::from_millis(2_500);
@@ -68,7 +68,7 @@
     /// Returns the box that gives orders, if it lives by all that was heard.
     pub fn live_holder(&self, now: Moment) -> Option<Ipv4Addr> {
         let last = self.last.filter(|last| last.gives)?;
-        let lives_for = if last.is_relayed { RELAYED_ALIVE_FOR } else { ALIVE_FOR };
+        let lives_for = if last.is_relayed { RELAYED_ALIVE_FOR } else { PEER_TIMEOUT };
         (now.since(last.at) < lives_for).then_some(last.ip)
     }
 
--- a/trackfrontd/src/serving/peer_book.rs
+++ b/trackfrontd/src/serving/peer_tracker.rs
@@ -24,7 +24,7 @@
 const LOST_EVERY: u64 = 16;
 
 /// The least time between two digests.
-pub const LEAST_GAP: Duration = Duration::from_millis(100);
+pub const MIN_DIGEST_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How much longer the time between digests is for each box that is told, so that what a box receives stays bounded.
 const GAP_FOR_EACH_TOLD: Duration = Duration::from_millis(6);
@@ -37,7 +37,7 @@
 const GAP_FOR_EACH_MATE: Duration = Duration::from_micros(2_500);
 
 /// How long a box counts as alive after it was heard, where it speaks more often than that.
-pub const ALIVE_FOR: Duration = Duration::from_millis(1_500);
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// How long a box that is not heard of counts among those that share budgets.
 const COUNTED_FOR: Duration = Duration::from_secs(120);
@@ -77,7 +77,7 @@
     }
 
     fn is_alive(&self, now: Moment) -> bool {
-        self.heard.is_some_and(|heard| now.since(heard) < ALIVE_FOR)
+        self.heard.is_some_and(|heard| now.since(heard) < PEER_TIMEOUT)
     }
 }
 
@@ -100,7 +100,7 @@
 
 /// The boxes of this box's hall.
 #[derive(Clone, Debug, Default)]
-pub struct HallMates {
+pub struct HallPeers {
     /// The others that are told what this box reads for them.
     pub others: Vec<Ipv4Addr>,
     /// How many go before this box in reading for the hall.
@@ -109,7 +109,7 @@
     pub reader: Option<Ipv4Addr>,
 }
 
-impl HallMates {
+impl HallPeers {
     /// Returns whether this box reads for the hall.
     pub fn is_reader(&self) -> bool {
         self.rank == 0
@@ -118,7 +118,7 @@
 
 /// Whom a box tells what all boxes are to know.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct TellAll {
+pub struct BroadcastTargets {
     /// Boxes that are told themselves.
     pub directly: Vec<Ipv4Addr>,
     /// Boxes that hand it on to their part of their hall.
@@ -127,7 +127,7 @@
 
 /// The other boxes.
 #[derive(Debug)]
-pub struct PeerBook {
+pub struct PeerTracker {
     me: ListedBox,
     peers: BTreeMap<Ipv4Addr, Peer>,
     halls: Halls,
@@ -136,7 +136,7 @@
     giver: KnownHolder,
 }
 
-impl PeerBook {
+impl PeerTracker {
     /// Makes the book of a box that knows no other.
     pub fn new(me: ListedBox) -> Self {
         let mut halls = Halls::default();
@@ -194,7 +194,7 @@
 
     /// Looks anew who speaks for which hall. To be called once in a round, before the others are told.
     pub fn elect(&mut self, now: Moment) {
-        let was_away = now.since(self.elected_at) >= ALIVE_FOR;
+        let was_away = now.since(self.elected_at) >= PEER_TIMEOUT;
         self.elected_at = now;
         if was_away {
             // This box stood still, so that it heard nobody says nothing of the others.
@@ -207,7 +207,7 @@
             };
             let expected = *peer.expected.get_or_insert(now);
             let since = peer.last_sign().max(expected);
-            peer.is_missing = now.since(since) >= ALIVE_FOR;
+            peer.is_missing = now.since(since) >= PEER_TIMEOUT;
         }
     }
 
@@ -341,7 +341,7 @@
     pub fn gap(&self, told: usize) -> Duration {
         let own = self.halls.of(self.me.hall).len() as u32;
         match (self.halls.is_small(self.me.hall), self.is_speaker()) {
-            (true, _) => LEAST_GAP.max(GAP_FOR_EACH_TOLD * told as u32),
+            (true, _) => MIN_DIGEST_INTERVAL.max(GAP_FOR_EACH_TOLD * told as u32),
             (false, true) => SPEAKER_GAP,
             (false, false) => SPEAKER_GAP.max(GAP_FOR_EACH_MATE * own),
         }
@@ -377,7 +377,7 @@
 
     /// Returns the boxes of this hall as this one sees them. They read in the order of what they can bear, those that
     /// the platform's store fails after the others; boxes that speak for a large hall go before the rest.
-    pub fn hall_mates(&self, is_store_lost: bool, now: Moment) -> HallMates {
+    pub fn hall_peers(&self, is_store_lost: bool, now: Moment) -> HallPeers {
         let is_small = self.halls.is_small(self.me.hall);
         let alive = |ip: &Ipv4Addr| self.peers.get(ip).is_some_and(|peer| peer.is_alive(now));
         let others = if is_small {
@@ -398,7 +398,7 @@
             alive.retain(|one| is_small || speakers.contains(&one.ip));
             let rank = alive.iter().filter(|one| place(one) < me).count();
             let reader = alive.first().filter(|_| rank > 0).map(|one| one.ip);
-            return HallMates { others, rank, reader };
+            return HallPeers { others, rank, reader };
         }
         // All that speak go first, alive or not yet found missing; of the rest each knows its place.
         let speakers = self.speakers();
@@ -407,7 +407,7 @@
             one.place() < self.me.place() && !speakers.contains(&one.ip) && !self.is_missing(one.ip)
         });
         let rank = speakers.len() + before.count();
-        HallMates { others, rank, reader }
+        HallPeers { others, rank, reader }
     }
 
     /// Returns how many boxes go before this one in taking the lease on orders: those that are alive, of a large
@@ -417,7 +417,7 @@
         let alive = self.peers.values().filter(is_before).count();
         match self.halls.is_small_fleet() || self.is_delegate() {
             true => alive,
-            false => alive + self.hall_mates(false, now).rank,
+            false => alive + self.hall_peers(false, now).rank,
         }
     }
 
@@ -473,11 +473,11 @@
 
     /// Returns whom this box tells what all boxes are to know: in a large fleet the boxes that hand it on to their halls,
     /// and its own part of its hall if it is one of these.
-    pub fn to_tell_all(&self, now: Moment) -> TellAll {
+    pub fn to_tell_all(&self, now: Moment) -> BroadcastTargets {
         if self.halls.is_small_fleet() {
-            return TellAll { directly: self.reachable(now), to_hand_on: Vec::new() };
+            return BroadcastTargets { directly: self.reachable(now), to_hand_on: Vec::new() };
         }
-        TellAll { directly: self.own_part(now), to_hand_on: self.first_of_halls() }
+        BroadcastTargets { directly: self.own_part(now), to_hand_on: self.first_of_halls() }
     }
 
     /// Returns whether each box tells each.
--- a/trackfrontd/src/serving/pipeline/attempt.rs
+++ b/trackfrontd/src/serving/pipeline/attempt.rs
@@ -22,9 +22,9 @@
 use trackfront_core::units::Moment;
 
 use super::Job;
+use crate::serving::feed_relay::FeedKind;
 use crate::serving::node::ServingNode;
 use crate::serving::overlay::EntryKind;
-use crate::serving::spread::FeedKind;
 use crate::serving::{cold, crashes, notices};
 
 /// How long a connection to a server may take to open: many times the way within a region.
--- a/trackfrontd/src/serving/placement.rs
+++ b/trackfrontd/src/serving/placement.rs
@@ -20,7 +20,7 @@
 use trackfront_core::serving::request::ModelRef;
 use trackfront_core::units::Moment;
 
-use super::gossip::Giving;
+use super::gossip::HoldsOrderLease;
 use super::lease::{OrderFence, OrderLease};
 use super::missing_items;
 use super::node::ServingNode;
@@ -67,7 +67,7 @@
 
 impl Placement {
     /// Makes a giver that holds no lease.
-    pub fn new(node: Arc<ServingNode>, giving: Arc<Giving>) -> Self {
+    pub fn new(node: Arc<ServingNode>, giving: Arc<HoldsOrderLease>) -> Self {
         let right = Arc::new(OrderFence::default());
         let lease = OrderLease::new(node.clone(), right.clone(), giving);
         let terms = node.settings.load().promises.loads();
--- a/trackfrontd/src/serving/run.rs
+++ b/trackfrontd/src/serving/run.rs
@@ -13,15 +13,15 @@
 use tokio::time::{Instant, sleep, timeout};
 use trackfront_adapters::serving_metrics::KindLabel;
 
-use super::gossip::{self, Giving};
+use super::gossip::{self, HoldsOrderLease};
 use super::log_queue::LogQueue;
 use super::node::{ServingNode, ServingPorts};
 use super::peer_socket::PeerSocket;
 use super::placement::Placement;
 use super::settings::ServingSettings;
 use super::{
-    boxes, cold, crashes, follow, listeners, missing_items, newest, notices, permits, quota,
-    suspension,
+    boxes, cold, config_freshness, crashes, follow, listeners, missing_items, notices, permits,
+    quota, suspension,
 };
 
 /// How long a call to the platform's store may take beyond the time that it asks the store to wait.
@@ -69,14 +69,14 @@
     let socket = Arc::new(socket);
     let (stop_clients, clients_stopped) = watch::channel(false);
     let (_stop_rest, rest_stopped) = watch::channel(false);
-    let giving = Arc::new(Giving::default());
+    let giving = Arc::new(HoldsOrderLease::default());
     let mut tasks = JoinSet::new();
     tasks.spawn(follow::follow_config(node.clone(), socket.clone()));
     tasks.spawn(follow::follow_servers(node.clone(), socket.clone()));
     tasks.spawn(gossip::tell(node.clone(), socket.clone(), giving.clone()));
     tasks.spawn(boxes::list_boxes(node.clone(), socket.clone()));
     tasks.spawn(missing_items::notify_askers(node.clone(), socket.clone()));
-    tasks.spawn(newest::keep_newest(node.clone(), socket.clone()));
+    tasks.spawn(config_freshness::track_config_freshness(node.clone(), socket.clone()));
     tasks.spawn(cold::maintain_senders(node.clone()));
     tasks.spawn(quota::maintain_quotas(node.clone(), socket.clone()));
     tasks.spawn(crashes::broadcast(node.clone(), socket.clone()));
--- a/trackfrontd/src/serving/settings.rs
+++ b/trackfrontd/src/serving/settings.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use super::delegates::{ListedBox, Strength};
+use super::delegates::{CapacityClass, ListedBox};
 use super::node::short_zone;
 use serde::Deserialize;
 use thiserror::Error;
@@ -116,8 +116,8 @@
 
 impl ResourceSettings {
     /// Returns how much the node can bear, which decides what it does for others.
-    pub fn strength(&self) -> Strength {
-        Strength::new(self.cpu_share, self.link_mbps, self.memory_mb)
+    pub fn strength(&self) -> CapacityClass {
+        CapacityClass::new(self.cpu_share, self.link_mbps, self.memory_mb)
     }
 }
 
--- a/trackfrontd/src/serving/suspension.rs
+++ b/trackfrontd/src/serving/suspension.rs
@@ -23,12 +23,12 @@
 
 /// How often the machine was found to have been suspended.
 #[derive(Debug, Default)]
-pub struct Wakings(watch::Sender<u64>);
+pub struct Suspensions(watch::Sender<u64>);
 
-impl Wakings {
+impl Suspensions {
     /// Returns what tells of each waking from now on.
-    pub fn follow(&self) -> Waking {
-        Waking(self.0.subscribe())
+    pub fn follow(&self) -> Suspension {
+        Suspension(self.0.subscribe())
     }
 
     fn note(&self) {
@@ -38,9 +38,9 @@
 
 /// Tells one task of wakings. One that the task has not asked about yet is told as soon as it does.
 #[derive(Debug)]
-pub struct Waking(watch::Receiver<u64>);
+pub struct Suspension(watch::Receiver<u64>);
 
-impl Waking {
+impl Suspension {
     /// Returns whether the machine woke since this was last told.
     pub fn is_new(&self) -> bool {
         // The sender lives as long as the box.
--- a/trackfrontd/tests/fleet.rs
+++ b/trackfrontd/tests/fleet.rs
@@ -8,9 +8,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use trackfront_core::units::Moment;
-use trackfrontd::serving::delegates::{ListedBox, Strength};
+use trackfrontd::serving::delegates::{CapacityClass, ListedBox};
 use trackfrontd::serving::messages::{Digest, Message};
-use trackfrontd::serving::peer_book::PeerBook;
+use trackfrontd::serving::peer_tracker::PeerTracker;
 
 const HALLS: u32 = 5;
 const STEP_MS: u64 = 50;
@@ -48,15 +48,15 @@
 fn listed(index: u32, kind: Kind) -> ListedBox {
     let is_strong = kind == Kind::SomeStrong && (index / HALLS).is_multiple_of(STRONG_EVERY);
     let strength = match is_strong {
-        true => Strength::new(1.0, 1_000.0, 1_024.0),
-        false => Strength::new(0.12, 20.0, 160.0),
+        true => CapacityClass::new(1.0, 1_000.0, 1_024.0),
+        false => CapacityClass::new(0.12, 20.0, 160.0),
     };
     ListedBox { ip: ip(index), hall: index % HALLS, strength }
 }
 
 struct Fleet {
     places: Vec<ListedBox>,
-    books: Vec<PeerBook>,
+    books: Vec<PeerTracker>,
     rounds: Vec<u64>,
     due_ms: Vec<u64>,
     down: Vec<bool>,
@@ -73,7 +73,7 @@
     fn new(boxes: u32, kind: Kind) -> Self {
         let places: Vec<ListedBox> = (0..boxes).map(|index| listed(index, kind)).collect();
         let book = |me: &ListedBox| {
-            let mut book = PeerBook::new(*me);
+            let mut book = PeerTracker::new(*me);
             places.iter().for_each(|other| book.list(*other, at(0)));
             book
         };
@@ -138,7 +138,7 @@
     }
 
     fn reads(&self, index: usize) -> bool {
-        self.books[index].hall_mates(false, at(self.now_ms)).is_reader()
+        self.books[index].hall_peers(false, at(self.now_ms)).is_reader()
     }
 
     /// The boxes that take themselves for the reader of their hall.
--- a/trackfrontd/tests/messages.rs
+++ b/trackfrontd/tests/messages.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 
 use trackfront_core::serving::directory::{ResidentModel, ServerChange, ServerEntry, ServerState};
+use trackfrontd::serving::feed_relay::FeedUpdate;
 use trackfrontd::serving::messages::{RankLoadReport, ServerLoadReport};
 use trackfrontd::serving::packing::pack;
-use trackfrontd::serving::spread::Relay;
 
 /// Datagrams are not authenticated, so anybody on the network can send one with any counts. Their sum over the
 /// ranks of a server, and over the boxes that tell of it, must not leave the range of its type.
@@ -52,7 +52,7 @@
         },
     };
     let changes: Vec<ServerChange> = names.iter().enumerate().map(change).collect();
-    let relay = Relay::Servers { from: 999, to: 1_023, changes, lapses_ms: 0 };
+    let relay = FeedUpdate::Servers { from: 999, to: 1_023, changes, lapses_ms: 0 };
     let bytes = pack(&relay).len() / names.len();
     println!("{bytes} bytes a change");
     assert!(bytes <= 60, "{bytes}");
--- a/trackfrontd/tests/peer_socket.rs
+++ b/trackfrontd/tests/peer_socket.rs
@@ -12,9 +12,9 @@
 
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep, timeout};
+use trackfrontd::serving::feed_relay::FeedUpdate;
 use trackfrontd::serving::messages::Message;
 use trackfrontd::serving::peer_socket::PeerSocket;
-use trackfrontd::serving::spread::Relay;
 
 /// The boxes of a large hall, beside the one that tells them.
 const BOXES: usize = 56;
@@ -116,7 +116,7 @@
         busy.send(&large_message(), &boxes).await;
     });
     sleep(Duration::from_millis(50)).await;
-    socket.send_now(&Message::FeedUpdate(Relay::Config { row: 1 }), ip(111));
+    socket.send_now(&Message::FeedUpdate(FeedUpdate::Config { row: 1 }), ip(111));
     let mut buffer = [0; 64];
     let came = timeout(Duration::from_millis(900), one.recv_from(&mut buffer)).await;
     assert!(came.is_ok(), "it came at once");
--- a/trackfrontd/tests/peer_book.rs
+++ b/trackfrontd/tests/peer_tracker.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use trackfront_core::units::Moment;
-use trackfrontd::serving::delegates::{ListedBox, Strength};
+use trackfrontd::serving::delegates::{CapacityClass, ListedBox};
 use trackfrontd::serving::messages::Digest;
-use trackfrontd::serving::peer_book::PeerBook;
+use trackfrontd::serving::peer_tracker::PeerTracker;
 
 const OWN_HALL: u32 = 1;
 const OTHER_HALL: u32 = 2;
@@ -17,8 +17,8 @@
 fn boxes_that_were_heard_are_asked_first_and_those_of_the_own_hall_before_others() {
     let now = Moment(Duration::from_secs(100));
     let ip = |last| Ipv4Addr::new(10, 0, 0, last);
-    let place = |last, hall| ListedBox { ip: ip(last), hall, strength: Strength::default() };
-    let mut book = PeerBook::new(place(9, OWN_HALL));
+    let place = |last, hall| ListedBox { ip: ip(last), hall, strength: CapacityClass::default() };
+    let mut book = PeerTracker::new(place(9, OWN_HALL));
     (1..=3).for_each(|last| book.list(place(last, OWN_HALL), now));
     (4..=5).for_each(|last| book.list(place(last, OTHER_HALL), now));
     book.heard(ip(3), &Digest { zone: OWN_HALL, ..Digest::default() }, now);
--- a/trackfrontd/tests/serving.rs
+++ b/trackfrontd/tests/serving.rs
@@ -5,9 +5,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+use trackfrontd::serving::feed_relay::{fresh_for, successor_wait};
 use trackfrontd::serving::log_queue;
 use trackfrontd::serving::settings::ServingSettings;
-use trackfrontd::serving::spread::{fresh_for, successor_wait};
 
 const SETTINGS: &str = r#"
 [node]
