--- a/trackfront_core/src/serving/crashes/mod.rs
+++ b/trackfront_core/src/serving/crashes/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-pub use report::{CrashReport, MAX_CRASHES, RunId};
+pub use report::{CrashReport, IncarnationId, MAX_CRASHES};
 
 use crate::serving::fingerprint::Fingerprint;
 use crate::units::Moment;
@@ -77,12 +77,12 @@
 
 /// What a box knows of requests that crash servers.
 #[derive(Debug, Default)]
-pub struct CrashBook {
+pub struct CrashTracker {
     suspects: HashMap<Fingerprint, Suspect>,
     /// Breaks at runs that are not known to have ended.
-    breaks: HashMap<RunId, Vec<(Fingerprint, Moment)>>,
+    breaks: HashMap<IncarnationId, Vec<(Fingerprint, Moment)>>,
     /// Runs that ended, and when that was learned.
-    ended: HashMap<RunId, Moment>,
+    ended: HashMap<IncarnationId, Moment>,
     /// When requests were last answered whole, and the order in which they were.
     answered: HashMap<Fingerprint, Moment>,
     answers: VecDeque<(Fingerprint, Moment)>,
@@ -90,38 +90,43 @@
 
 /// What came of a word on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Learned {
+pub enum SuspicionChange {
     /// Nothing that counts.
-    Nothing,
+    Unchanged,
     /// How many servers it crashed has changed.
-    Crashes(usize),
+    Suspected(usize),
     /// It is held off from now on.
-    HeldOff,
+    Quarantined,
     /// It is no longer held off.
-    LetGo,
+    Released,
 }
 
-impl CrashBook {
+impl CrashTracker {
     /// Notes that a connection broke under a request that a run of a server worked on. Returns what that changes
     /// for the request; a run that is not known to have ended is to be looked at.
-    pub fn broke(&mut self, fingerprint: Fingerprint, run: RunId, now: Moment) -> Learned {
+    pub fn connection_broke(
+        &mut self,
+        fingerprint: Fingerprint,
+        run: IncarnationId,
+        now: Moment,
+    ) -> SuspicionChange {
         if self.has_ended(run, now) {
-            return self.strike(fingerprint, run, now);
+            return self.record_crash(fingerprint, run, now);
         }
         let breaks = self.breaks.entry(run).or_default();
         if breaks.len() < MAX_BREAKS {
             breaks.push((fingerprint, now));
         }
-        Learned::Nothing
+        SuspicionChange::Unchanged
     }
 
     /// Returns whether a run of a server is known to have ended.
-    pub fn has_ended(&self, run: RunId, now: Moment) -> bool {
+    pub fn has_ended(&self, run: IncarnationId, now: Moment) -> bool {
         self.ended.get(&run).is_some_and(|at| now.since(*at) < ENDED_FOR)
     }
 
     /// Notes that a run of a server answered: it had not ended when what broke there a while ago did.
-    pub fn lives(&mut self, run: RunId, now: Moment) {
+    pub fn mark_alive(&mut self, run: IncarnationId, now: Moment) {
         self.ended.remove(&run);
         if let Some(breaks) = self.breaks.get_mut(&run) {
             breaks.retain(|(_, at)| now.since(*at) < JUST_NOW);
@@ -129,22 +134,35 @@
     }
 
     /// Notes that a run of a server has ended: what broke there was a crash. Returns what that changes.
-    pub fn ended(&mut self, run: RunId, now: Moment) -> Vec<(Fingerprint, Learned)> {
+    pub fn mark_ended(
+        &mut self,
+        run: IncarnationId,
+        now: Moment,
+    ) -> Vec<(Fingerprint, SuspicionChange)> {
         self.ended.insert(run, now);
         let breaks = self.breaks.remove(&run).unwrap_or_default();
         let recent = breaks.into_iter().filter(|(_, at)| now.since(*at) < BREAK_FOR);
         let struck: Vec<_> = recent.collect();
-        let learned = |(fingerprint, _)| (fingerprint, self.strike(fingerprint, run, now));
-        struck.into_iter().map(learned).filter(|(_, what)| *what != Learned::Nothing).collect()
+        let learned = |(fingerprint, _)| (fingerprint, self.record_crash(fingerprint, run, now));
+        struck
+            .into_iter()
+            .map(learned)
+            .filter(|(_, what)| *what != SuspicionChange::Unchanged)
+            .collect()
     }
 
-    fn strike(&mut self, fingerprint: Fingerprint, run: RunId, now: Moment) -> Learned {
+    fn record_crash(
+        &mut self,
+        fingerprint: Fingerprint,
+        run: IncarnationId,
+        now: Moment,
+    ) -> SuspicionChange {
         if self.was_answered(fingerprint, now) {
-            return Learned::Nothing;
+            return SuspicionChange::Unchanged;
         }
         let mut report = CrashReport::new(fingerprint);
         report.crashed.insert(run);
-        self.take_in(&report, now)
+        self.apply_report(&report, now)
     }
 
     fn was_answered(&self, fingerprint: Fingerprint, now: Moment) -> bool {
@@ -152,8 +170,8 @@
     }
 
     /// Takes in what is known elsewhere of a request. Crashes are excused if this box got a whole answer to it lately:
-    /// [`CrashBook::knows_excuse`] says then that the others should hear of that.
-    pub fn take_in(&mut self, report: &CrashReport, now: Moment) -> Learned {
+    /// [`CrashTracker::knows_cleared`] says then that the others should hear of that.
+    pub fn apply_report(&mut self, report: &CrashReport, now: Moment) -> SuspicionChange {
         let fingerprint = report.fingerprint;
         let is_excused = self.was_answered(fingerprint, now);
         if !self.suspects.contains_key(&fingerprint) {
@@ -169,32 +187,32 @@
         });
         let crashes = suspect.report.crashes();
         if !suspect.report.merge(report) {
-            return Learned::Nothing;
+            return SuspicionChange::Unchanged;
         }
         if is_excused {
             suspect.report.excused = suspect.report.crashed.clone();
         }
         suspect.struck = now;
         let was_held = suspect.held_since.is_some();
-        let is_held = suspect.report.is_held_off();
+        let is_held = suspect.report.is_quarantined();
         match (was_held, is_held) {
             (false, true) => {
                 suspect.held_since = Some(now);
-                let is_own_word = !report.is_held_off();
+                let is_own_word = !report.is_quarantined();
                 let came_together = now.since(suspect.first_struck) < TOGETHER;
                 suspect.report.together |= is_own_word && came_together;
                 suspect.trials = if suspect.report.together { MAX_TRIALS } else { 0 };
                 suspect.trial_at = now + TRIAL_AFTER;
-                Learned::HeldOff
+                SuspicionChange::Quarantined
             }
             (true, false) => {
                 suspect.held_since = None;
                 // Its row is removed; if it is held off again, another is written.
                 suspect.report.stored = false;
-                Learned::LetGo
+                SuspicionChange::Released
             }
-            _ if suspect.report.crashes() == crashes => Learned::Nothing,
-            _ => Learned::Crashes(suspect.report.crashes()),
+            _ if suspect.report.crashes() == crashes => SuspicionChange::Unchanged,
+            _ => SuspicionChange::Suspected(suspect.report.crashes()),
         }
     }
 
@@ -210,7 +228,7 @@
     }
 
     /// Notes that a request was answered whole, which one that crashes its servers never is.
-    pub fn answered(&mut self, fingerprint: Fingerprint, now: Moment) -> Learned {
+    pub fn mark_answered(&mut self, fingerprint: Fingerprint, now: Moment) -> SuspicionChange {
         self.answered.insert(fingerprint, now);
         self.answers.push_back((fingerprint, now));
         if self.answers.len() > MAX_ANSWERED
@@ -219,26 +237,26 @@
         {
             self.answered.remove(&first);
         }
-        self.excuse(fingerprint, now)
+        self.clear_suspicion(fingerprint, now)
     }
 
     /// Excuses a request of all crashes that are known of it.
-    pub fn excuse(&mut self, fingerprint: Fingerprint, now: Moment) -> Learned {
+    pub fn clear_suspicion(&mut self, fingerprint: Fingerprint, now: Moment) -> SuspicionChange {
         let Some(suspect) = self.suspects.get(&fingerprint) else {
-            return Learned::Nothing;
+            return SuspicionChange::Unchanged;
         };
         let mut report = suspect.report.clone();
         report.excused = report.crashed.clone();
-        self.take_in(&report, now)
+        self.apply_report(&report, now)
     }
 
     /// Returns whether a request is held off.
-    pub fn is_held_off(&self, fingerprint: Fingerprint) -> bool {
+    pub fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
         self.suspects.get(&fingerprint).is_some_and(|suspect| suspect.held_since.is_some())
     }
 
     /// Takes a trial of a request that is held off for crashes that came together. Only one box may ask for it.
-    pub fn take_trial(&mut self, fingerprint: Fingerprint, now: Moment) -> bool {
+    pub fn start_trial(&mut self, fingerprint: Fingerprint, now: Moment) -> bool {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return false;
         };
@@ -262,7 +280,7 @@
     }
 
     /// Returns whether this box knows that crashes which another box told of count no more.
-    pub fn knows_excuse(&self, told: &CrashReport) -> bool {
+    pub fn knows_cleared(&self, told: &CrashReport) -> bool {
         let Some(known) = self.report(told.fingerprint) else {
             return false;
         };
@@ -282,7 +300,7 @@
     }
 
     /// Returns the requests that are held off, and since when.
-    pub fn held_off(&self) -> impl Iterator<Item = (&CrashReport, Moment)> {
+    pub fn quarantined(&self) -> impl Iterator<Item = (&CrashReport, Moment)> {
         self.suspects.values().filter_map(|suspect| Some((&suspect.report, suspect.held_since?)))
     }
 
--- a/trackfront_core/src/serving/crashes/report.rs
+++ b/trackfront_core/src/serving/crashes/report.rs
@@ -17,7 +17,7 @@
 /// A run of a server, by its short name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct RunId(pub u32);
+pub struct IncarnationId(pub u32);
 
 /// The runs of servers that ended under a request, as boxes tell each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,9 +25,9 @@
     /// The request.
     pub fingerprint: Fingerprint,
     /// The runs that ended under it.
-    pub crashed: BTreeSet<RunId>,
+    pub crashed: BTreeSet<IncarnationId>,
     /// Those of them that count no more, since it was answered whole or released.
-    pub excused: BTreeSet<RunId>,
+    pub excused: BTreeSet<IncarnationId>,
     /// Whether the platform's store has it.
     pub stored: bool,
     /// Whether the crashes that held it off came together, so that they may have had another cause.
@@ -41,7 +41,7 @@
     }
 
     /// Returns whether the request is held off.
-    pub fn is_held_off(&self) -> bool {
+    pub fn is_quarantined(&self) -> bool {
         self.crashes() >= MAX_CRASHES
     }
 
--- a/trackfront_core/tests/serving/crashes_random.rs
+++ b/trackfront_core/tests/serving/crashes_random.rs
@@ -7,7 +7,7 @@
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use trackfront_core::serving::crashes::{CrashBook, CrashReport, MAX_CRASHES, RunId};
+use trackfront_core::serving::crashes::{CrashReport, CrashTracker, IncarnationId, MAX_CRASHES};
 use trackfront_core::serving::fingerprint::Fingerprint;
 
 use super::support::at;
@@ -26,9 +26,9 @@
 const MOST_ON_THEIR_WAY: usize = 50;
 
 struct World {
-    boxes: Vec<CrashBook>,
+    boxes: Vec<CrashTracker>,
     on_their_way: Vec<CrashReport>,
-    ended_under: BTreeMap<Fingerprint, BTreeSet<RunId>>,
+    ended_under: BTreeMap<Fingerprint, BTreeSet<IncarnationId>>,
     next_run: u32,
 }
 
@@ -38,9 +38,9 @@
         let request = Fingerprint(rng.random_range(0..REQUESTS));
         match rng.random_range(0..20) {
             0 => self.crash(rng, ms),
-            1 => self.boxes[index] = CrashBook::default(),
+            1 => self.boxes[index] = CrashTracker::default(),
             2 | 3 if request.0 >= CAUSES => {
-                self.boxes[index].answered(request, at(ms));
+                self.boxes[index].mark_answered(request, at(ms));
             }
             4..8 => {
                 self.on_their_way.extend(self.boxes[index].report(request).cloned());
@@ -50,16 +50,16 @@
             }
             8..16 => {
                 if let Some(report) = self.on_their_way.choose(rng) {
-                    self.boxes[index].take_in(report, at(ms));
+                    self.boxes[index].apply_report(report, at(ms));
                 }
             }
             16 => _ = self.boxes[index].forget_old(at(ms)),
             17 => {
-                let run = RunId(self.next_run);
+                let run = IncarnationId(self.next_run);
                 self.next_run += 1;
                 // A link breaks, and the server lives on.
-                self.boxes[index].broke(request, run, at(ms));
-                self.boxes[index].lives(run, at(ms));
+                self.boxes[index].connection_broke(request, run, at(ms));
+                self.boxes[index].mark_alive(run, at(ms));
             }
             _ => {}
         }
@@ -67,7 +67,7 @@
 
     /// A server ends under a cause and what runs beside it, at whichever boxes.
     fn crash(&mut self, rng: &mut ChaCha8Rng, ms: u64) {
-        let run = RunId(self.next_run);
+        let run = IncarnationId(self.next_run);
         self.next_run += 1;
         for request in 0..REQUESTS {
             let is_there = rng.random_bool(0.4);
@@ -76,19 +76,19 @@
             }
             let request = Fingerprint(request);
             let index = rng.random_range(0..BOXES);
-            self.boxes[index].broke(request, run, at(ms));
+            self.boxes[index].connection_broke(request, run, at(ms));
             self.ended_under.entry(request).or_default().insert(run);
         }
         for book in &mut self.boxes {
             if rng.random_bool(0.8) {
-                book.ended(run, at(ms + 5));
+                book.mark_ended(run, at(ms + 5));
             }
         }
     }
 
     fn check(&self) {
         for book in &self.boxes {
-            for (report, _) in book.held_off() {
+            for (report, _) in book.quarantined() {
                 let ended = &self.ended_under[&report.fingerprint];
                 assert!(report.crashes() >= MAX_CRASHES);
                 assert!(report.crashed.is_subset(ended), "a run counts that did not end under it");
@@ -100,14 +100,14 @@
 #[test]
 fn boxes_hold_off_only_what_servers_ended_under() {
     let mut rng = ChaCha8Rng::seed_from_u64(71);
-    let boxes = (0..BOXES).map(|_| CrashBook::default()).collect();
+    let boxes = (0..BOXES).map(|_| CrashTracker::default()).collect();
     let mut world =
         World { boxes, on_their_way: Vec::new(), ended_under: BTreeMap::new(), next_run: 0 };
     let mut held_off = 0;
     for step in 0..STEPS {
         world.step(&mut rng, step * STEP_MS);
         world.check();
-        held_off += world.boxes.iter().filter(|book| book.held_off().next().is_some()).count();
+        held_off += world.boxes.iter().filter(|book| book.quarantined().next().is_some()).count();
     }
     assert!(held_off > 1_000, "the run has to hold something off: {held_off}");
 }
@@ -120,8 +120,9 @@
         let request = Fingerprint(1);
         let words: Vec<CrashReport> = (0..rng.random_range(1..6))
             .map(|_| {
-                let crashed: BTreeSet<RunId> =
-                    (0..rng.random_range(1..4)).map(|_| RunId(rng.random_range(0..6))).collect();
+                let crashed: BTreeSet<IncarnationId> = (0..rng.random_range(1..4))
+                    .map(|_| IncarnationId(rng.random_range(0..6)))
+                    .collect();
                 let excused = crashed.iter().copied().filter(|_| rng.random_bool(0.2)).collect();
                 CrashReport {
                     fingerprint: request,
@@ -132,15 +133,15 @@
                 }
             })
             .collect();
-        let mut one = CrashBook::default();
-        let mut other = CrashBook::default();
-        words.iter().for_each(|word| _ = one.take_in(word, at(1)));
-        words.iter().rev().for_each(|word| _ = other.take_in(word, at(1)));
-        words.iter().for_each(|word| _ = other.take_in(word, at(2)));
-        let runs = |book: &CrashBook| {
+        let mut one = CrashTracker::default();
+        let mut other = CrashTracker::default();
+        words.iter().for_each(|word| _ = one.apply_report(word, at(1)));
+        words.iter().rev().for_each(|word| _ = other.apply_report(word, at(1)));
+        words.iter().for_each(|word| _ = other.apply_report(word, at(2)));
+        let runs = |book: &CrashTracker| {
             book.report(request).map(|known| (known.crashed.clone(), known.excused.clone()))
         };
         assert_eq!(runs(&one), runs(&other));
-        assert_eq!(one.is_held_off(request), other.is_held_off(request));
+        assert_eq!(one.is_quarantined(request), other.is_quarantined(request));
     }
 }
--- a/trackfrontd/src/serving/crashes/mod.rs
+++ b/trackfrontd/src/serving/crashes/mod.rs
@@ -24,7 +24,9 @@
 use trackfront_adapters::upstream::UpstreamError;
 use trackfront_core::ids::{BackendId, RequestId};
 use trackfront_core::quota::{BoxId, keepers};
-use trackfront_core::serving::crashes::{CrashBook, CrashReport, Learned, RunId};
+use trackfront_core::serving::crashes::{
+    CrashReport, CrashTracker, IncarnationId, SuspicionChange,
+};
 use trackfront_core::serving::directory::KnownServer;
 use trackfront_core::serving::fingerprint::Fingerprint;
 use trackfront_core::units::Moment;
@@ -44,7 +46,7 @@
 /// What a box knows of requests that crash servers, and what it has yet to tell.
 #[derive(Default)]
 pub struct Crashes {
-    book: Mutex<CrashBook>,
+    book: Mutex<CrashTracker>,
     outbox: Mutex<Outbox>,
     /// The servers that are looked at now.
     looking: Mutex<HashSet<BackendId>>,
@@ -62,7 +64,7 @@
     /// Returns how many servers a request crashed, if it is held off.
     pub fn held_off(&self, fingerprint: Fingerprint) -> Option<usize> {
         let book = self.book.lock();
-        book.is_held_off(fingerprint)
+        book.is_quarantined(fingerprint)
             .then(|| book.report(fingerprint).map_or(0, CrashReport::crashes))
     }
 
@@ -74,12 +76,12 @@
     /// Returns what is held off, and since when.
     pub fn all_held_off(&self) -> Vec<(CrashReport, Moment)> {
         let book = self.book.lock();
-        book.held_off().map(|(report, since)| (report.clone(), since)).collect()
+        book.quarantined().map(|(report, since)| (report.clone(), since)).collect()
     }
 
     /// Notes that a run of a server answered.
     pub fn lives(&self, server: &BackendId, now: Moment) {
-        self.book.lock().lives(run_id(server), now);
+        self.book.lock().mark_alive(run_id(server), now);
     }
 
     fn is_loaded(&self) -> bool {
@@ -87,15 +89,15 @@
     }
 }
 
-fn run_id(server: &BackendId) -> RunId {
-    RunId(short_server(server))
+fn run_id(server: &BackendId) -> IncarnationId {
+    IncarnationId(short_server(server))
 }
 
 /// Returns whether a request may be sent, though it is held off, to see whether it really is what crashes servers.
 pub fn take_trial(node: &ServingNode, fingerprint: Fingerprint) -> bool {
     let me = node.settings.load().node.ip;
     let is_first = keepers_of(node, fingerprint).first() == Some(&me);
-    let tries = is_first && node.crashes.book.lock().take_trial(fingerprint, node.now());
+    let tries = is_first && node.crashes.book.lock().start_trial(fingerprint, node.now());
     if tries {
         log::info!(fingerprint:%; "held off request tried once more");
     }
@@ -128,7 +130,7 @@
     let run = run_id(id);
     let (learned, has_ended) = {
         let mut book = node.crashes.book.lock();
-        (book.broke(fingerprint, run, now), book.has_ended(run, now))
+        (book.connection_broke(fingerprint, run, now), book.has_ended(run, now))
     };
     note(node, fingerprint, learned, request.as_str());
     if !has_ended && node.crashes.looking.lock().insert(id.clone()) {
@@ -161,7 +163,7 @@
 
 /// Notes that a server's row went, or that a later run of it wrote another.
 pub fn server_left(node: &ServingNode, server: &BackendId) {
-    let learned = node.crashes.book.lock().ended(run_id(server), node.now());
+    let learned = node.crashes.book.lock().mark_ended(run_id(server), node.now());
     for (fingerprint, what) in learned {
         note(node, fingerprint, what, server.as_str());
     }
@@ -174,7 +176,7 @@
     let run = run_id(server);
     let (was_known, learned) = {
         let mut book = node.crashes.book.lock();
-        (book.has_ended(run, now), book.ended(run, now))
+        (book.has_ended(run, now), book.mark_ended(run, now))
     };
     if !was_known {
         log::info!(server:%, evidence, struck = learned.len(); "server ended");
@@ -186,33 +188,33 @@
 
 /// Notes that a request was answered whole.
 pub fn request_completed(node: &ServingNode, fingerprint: Fingerprint) {
-    let learned = node.crashes.book.lock().answered(fingerprint, node.now());
+    let learned = node.crashes.book.lock().mark_answered(fingerprint, node.now());
     note(node, fingerprint, learned, "it was answered whole");
 }
 
 /// Lets a request that is held off go again, at all boxes. Returns whether it was held off.
 pub fn release(node: &ServingNode, fingerprint: Fingerprint) -> bool {
-    let learned = node.crashes.book.lock().excuse(fingerprint, node.now());
+    let learned = node.crashes.book.lock().clear_suspicion(fingerprint, node.now());
     note(node, fingerprint, learned, "an operator let it go");
-    learned == Learned::LetGo
+    learned == SuspicionChange::Released
 }
 
 /// Takes in what another box knows.
 pub fn merge_reports(node: &ServingNode, from: Ipv4Addr, reports: &[CrashReport]) {
     for report in reports {
         let fingerprint = report.fingerprint;
-        let (learned, is_held_off, knows_excuse) = {
+        let (learned, is_quarantined, knows_cleared) = {
             let mut book = node.crashes.book.lock();
-            let learned = book.take_in(report, node.now());
-            (learned, book.is_held_off(fingerprint), book.knows_excuse(report))
+            let learned = book.apply_report(report, node.now());
+            (learned, book.is_quarantined(fingerprint), book.knows_cleared(report))
         };
         log_learned(node, fingerprint, learned, &from.to_string());
-        if knows_excuse {
+        if knows_cleared {
             // Many boxes may know that; the first that says so speaks for all.
             node.crashes.outbox.lock().add_excuse(fingerprint, node.now());
             node.crashes.to_tell.notify_one();
-        } else if is_held_off
-            && (!report.is_held_off() || has_to_pass_on(node, learned, fingerprint))
+        } else if is_quarantined
+            && (!report.is_quarantined() || has_to_pass_on(node, learned, fingerprint))
         {
             // The box that told knows less, or may end before all have heard of it.
             tell_all(node, fingerprint);
@@ -223,9 +225,9 @@
 }
 
 /// Returns whether this box tells all others as well of what another has held off: those that count its crashes do.
-fn has_to_pass_on(node: &ServingNode, learned: Learned, fingerprint: Fingerprint) -> bool {
+fn has_to_pass_on(node: &ServingNode, learned: SuspicionChange, fingerprint: Fingerprint) -> bool {
     let me = node.settings.load().node.ip;
-    learned == Learned::HeldOff && keepers_of(node, fingerprint).contains(&me)
+    learned == SuspicionChange::Quarantined && keepers_of(node, fingerprint).contains(&me)
 }
 
 /// Takes in which servers another box found to have ended.
@@ -241,14 +243,14 @@
 }
 
 /// Logs what was learned of a request and has the boxes told that need to know.
-fn note(node: &ServingNode, fingerprint: Fingerprint, learned: Learned, by: &str) {
-    if learned == Learned::Nothing {
+fn note(node: &ServingNode, fingerprint: Fingerprint, learned: SuspicionChange, by: &str) {
+    if learned == SuspicionChange::Unchanged {
         return;
     }
     log_learned(node, fingerprint, learned, by);
     match learned {
-        Learned::HeldOff => tell_all(node, fingerprint),
-        Learned::LetGo => {
+        SuspicionChange::Quarantined => tell_all(node, fingerprint),
+        SuspicionChange::Released => {
             node.crashes.rows_over.lock().push(fingerprint);
             tell_all(node, fingerprint);
         }
@@ -265,19 +267,19 @@
     node.crashes.to_keep.notify_one();
 }
 
-fn log_learned(node: &ServingNode, fingerprint: Fingerprint, learned: Learned, by: &str) {
+fn log_learned(node: &ServingNode, fingerprint: Fingerprint, learned: SuspicionChange, by: &str) {
     let report = node.crashes.book.lock().report(fingerprint).cloned();
     let crashes = report.as_ref().map_or(0, CrashReport::crashes);
     let kind = match learned {
-        Learned::Nothing => return,
-        Learned::Crashes(_) => "struck",
-        Learned::HeldOff => "held off",
-        Learned::LetGo => "let go",
+        SuspicionChange::Unchanged => return,
+        SuspicionChange::Suspected(_) => "struck",
+        SuspicionChange::Quarantined => "held off",
+        SuspicionChange::Released => "let go",
     };
     node.metrics.crashes.get_or_create(&KindLabel { kind }).inc();
     match learned {
-        Learned::HeldOff => log::warn!(fingerprint:%, crashes, by; "request held off"),
-        Learned::LetGo => log::warn!(fingerprint:%, crashes, by; "request let go"),
+        SuspicionChange::Quarantined => log::warn!(fingerprint:%, crashes, by; "request held off"),
+        SuspicionChange::Released => log::warn!(fingerprint:%, crashes, by; "request let go"),
         _ => log::info!(fingerprint:%, crashes, by; "servers crashed under request"),
     }
 }
--- a/trackfrontd/src/serving/crashes/rows.rs
+++ b/trackfrontd/src/serving/crashes/rows.rs
@@ -74,7 +74,7 @@
         let mut book = node.crashes.book.lock();
         // What was tried before this box started is not known to it, so it tries nothing.
         for report in reports {
-            book.take_in(&CrashReport { together: false, ..report }, now);
+            book.apply_report(&CrashReport { together: false, ..report }, now);
         }
     }
     node.crashes.is_loaded.store(true, Ordering::Relaxed);
