--- a/trackfront_core/src/engine_load.rs
+++ b/trackfront_core/src/engine_load.rs
@@ -94,7 +94,7 @@
     returned_at: Option<Moment>,
     leaving_since: Option<Moment>,
     /// Until when it wants no requests from this box.
-    backs_off_until: Option<Moment>,
+    backoff_until: Option<Moment>,
 }
 
 impl EngineLoad {
@@ -145,8 +145,8 @@
     }
 
     /// Returns until when the engine wants no requests from this box, if that is not over at `now`.
-    pub fn backs_off_until(&self, now: Moment) -> Option<Moment> {
-        self.backs_off_until.filter(|until| now < *until)
+    pub fn backoff_until(&self, now: Moment) -> Option<Moment> {
+        self.backoff_until.filter(|until| now < *until)
     }
 
     /// Returns how old the figures are at `now`; `None` if there are none.
@@ -244,7 +244,7 @@
         *own -= 1;
         self.measure(sent, ended, in_batch);
         if let Some(wait) = ended.back_off {
-            self.backs_off_until = self.backs_off_until.max(Some(now + wait));
+            self.backoff_until = self.backoff_until.max(Some(now + wait));
         }
         if ended.failed {
             self.failed(now);
--- a/trackfront_core/src/fleet.rs
+++ b/trackfront_core/src/fleet.rs
@@ -97,8 +97,8 @@
     }
 
     /// Returns until when the engine wants no requests from this box, if that is not over.
-    pub fn backs_off_until(&self, now: Moment) -> Option<Moment> {
-        self.load.lock().backs_off_until(now)
+    pub fn backoff_until(&self, now: Moment) -> Option<Moment> {
+        self.load.lock().backoff_until(now)
     }
 
     /// Returns whether new requests may go here at `now`: the breaker is closed, or one probe
--- a/trackfront_core/src/routing.rs
+++ b/trackfront_core/src/routing.rs
@@ -173,7 +173,7 @@
             if query.tried.contains(&entry.id) || entry.has_left(query.now) {
                 return;
             }
-            if let Some(until) = entry.backs_off_until(query.now) {
+            if let Some(until) = entry.backoff_until(query.now) {
                 back_at = Some(back_at.map_or(until, |first| first.min(until)));
                 return;
             }
--- a/trackfront_core/src/serving/notices.rs
+++ b/trackfront_core/src/serving/notices.rs
@@ -41,7 +41,7 @@
 
 /// The answer that a notice came with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Source {
+pub struct NoticeSource {
     /// When its request was sent, or earlier.
     pub sent: Moment,
     /// Whether it is a whole answer to that request, so that what it does not name is not so.
@@ -50,7 +50,7 @@
 
 /// What a notice has changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Learned {
+pub enum NoticeChange {
     /// The server leaves.
     Leaves,
     /// It has this limit, in requests a second.
@@ -63,7 +63,7 @@
 
 /// The limit of a server as it was last named, or that it has none any more.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitWord {
+pub struct KnownLimit {
     /// Requests a second; `None` once it is over.
     pub per_s: Option<f64>,
     /// When that was last said.
@@ -74,33 +74,35 @@
 
 /// What servers have said, as one box knows it.
 #[derive(Debug, Default)]
-pub struct NoticeBook {
+pub struct NoticeTracker {
     /// Since when this box has known that a server leaves.
     leaving: HashMap<BackendId, Moment>,
-    limits: HashMap<BackendId, LimitWord>,
+    limits: HashMap<BackendId, KnownLimit>,
     /// Until when a server wants no requests.
     back_off: HashMap<BackendId, Moment>,
 }
 
-impl NoticeBook {
+impl NoticeTracker {
     /// Takes in what an answer says. Returns what that has changed.
-    pub fn heard(
+    pub fn apply(
         &mut self,
         server: &BackendId,
         notice: &Notice,
-        source: Source,
+        source: NoticeSource,
         now: Moment,
-    ) -> Vec<Learned> {
+    ) -> Vec<NoticeChange> {
         let mut learned = Vec::new();
         if notice.leaves {
-            learned.extend(self.leaves(server, now));
+            learned.extend(self.mark_leaving(server, now));
         }
         match notice.limit {
-            NamedLimit::PerSecond(per_s) => learned.extend(self.limit(server, Some(per_s), now)),
+            NamedLimit::PerSecond(per_s) => {
+                learned.extend(self.apply_limit(server, Some(per_s), now))
+            }
             NamedLimit::Absent if source.is_answer => {
                 let named = self.limits.get(server).filter(|word| word.per_s.is_some());
                 if named.is_some_and(|word| word.at < source.sent) {
-                    learned.extend(self.limit(server, None, now));
+                    learned.extend(self.apply_limit(server, None, now));
                 }
             }
             NamedLimit::Absent | NamedLimit::Unreadable => {}
@@ -108,7 +110,7 @@
         if let Some(wait) = notice.back_off {
             let until = self.back_off.entry(server.clone()).or_default();
             if *until <= now {
-                learned.push(Learned::BacksOff(wait));
+                learned.push(NoticeChange::BacksOff(wait));
             }
             // Each answer asks for its own time; a later, shorter one takes nothing back.
             *until = (*until).max(now + wait);
@@ -117,23 +119,28 @@
     }
 
     /// Takes in that a server leaves, by its own or another box's word. Returns whether that is news.
-    pub fn leaves(&mut self, server: &BackendId, now: Moment) -> Option<Learned> {
+    pub fn mark_leaving(&mut self, server: &BackendId, now: Moment) -> Option<NoticeChange> {
         let is_news = !self.leaving.contains_key(server);
         self.leaving.entry(server.clone()).or_insert(now);
-        is_news.then_some(Learned::Leaves)
+        is_news.then_some(NoticeChange::Leaves)
     }
 
     /// Takes in a limit, or that it is over, as said at `at`. A later word goes before an earlier one. Returns what
     /// has changed.
-    pub fn limit(&mut self, server: &BackendId, per_s: Option<f64>, at: Moment) -> Option<Learned> {
+    pub fn apply_limit(
+        &mut self,
+        server: &BackendId,
+        per_s: Option<f64>,
+        at: Moment,
+    ) -> Option<NoticeChange> {
         let before = self.limits.get(server).copied();
         if before.is_some_and(|before| before.at > at) {
             return None;
         }
         let is_same = before.map_or(per_s.is_none(), |before| before.per_s == per_s);
         let since = before.filter(|_| is_same).map_or(at, |before| before.since);
-        self.limits.insert(server.clone(), LimitWord { per_s, at, since });
-        (!is_same).then_some(per_s.map_or(Learned::Unlimited, Learned::Limited))
+        self.limits.insert(server.clone(), KnownLimit { per_s, at, since });
+        (!is_same).then_some(per_s.map_or(NoticeChange::Unlimited, NoticeChange::Limited))
     }
 
     /// Returns since when this box has known that a server leaves, if it said so.
@@ -142,17 +149,17 @@
     }
 
     /// Returns the last word on a server's limit.
-    pub fn limit_of(&self, server: &BackendId) -> Option<LimitWord> {
+    pub fn known_limit(&self, server: &BackendId) -> Option<KnownLimit> {
         self.limits.get(server).copied()
     }
 
     /// Returns the limit of a server, in requests a second, if it has one.
-    pub fn per_s(&self, server: &BackendId) -> Option<f64> {
+    pub fn limit_per_s(&self, server: &BackendId) -> Option<f64> {
         self.limits.get(server)?.per_s
     }
 
     /// Returns until when a server wants no requests from this box, if that is not over.
-    pub fn backs_off_until(&self, server: &BackendId, now: Moment) -> Option<Moment> {
+    pub fn backoff_until(&self, server: &BackendId, now: Moment) -> Option<Moment> {
         self.back_off.get(server).copied().filter(|until| now < *until)
     }
 
@@ -160,8 +167,8 @@
     /// before a send, since a connection may have been opened or a turn waited for meanwhile.
     pub fn admits(&self, server: &BackendId, turn: Option<Permit>, now: Moment) -> bool {
         let has_turn = || turn.is_some_and(|turn| turn.is_usable(now));
-        let backs_off = self.backs_off_until(server, now).is_some();
-        !backs_off && (self.per_s(server).is_none() || has_turn())
+        let backs_off = self.backoff_until(server, now).is_some();
+        !backs_off && (self.limit_per_s(server).is_none() || has_turn())
     }
 
     /// Returns the servers that leave.
@@ -170,13 +177,13 @@
     }
 
     /// Returns the servers that have a limit, with its last word.
-    pub fn limits(&self) -> impl Iterator<Item = (&BackendId, LimitWord)> {
+    pub fn limits(&self) -> impl Iterator<Item = (&BackendId, KnownLimit)> {
         let limited = self.limits.iter().filter(|(_, word)| word.per_s.is_some());
         limited.map(|(server, word)| (server, *word))
     }
 
     /// Returns how many servers want no requests from this box now.
-    pub fn backing_off(&self, now: Moment) -> usize {
+    pub fn backing_off_count(&self, now: Moment) -> usize {
         self.back_off.values().filter(|until| now < **until).count()
     }
 
--- a/trackfrontd/src/serving/node.rs
+++ b/trackfrontd/src/serving/node.rs
@@ -21,7 +21,7 @@
 use trackfront_core::serving::demand::DemandMeter;
 use trackfront_core::serving::directory::{Directory, KnownServer};
 use trackfront_core::serving::load::LoadTracker;
-use trackfront_core::serving::notices::NoticeBook;
+use trackfront_core::serving::notices::NoticeTracker;
 use trackfront_core::serving::places::Evacuations;
 use trackfront_core::serving::request::ModelRef;
 use trackfront_core::serving::retry_budget::RetryBudgets;
@@ -97,7 +97,7 @@
     /// The servers that are cold.
     pub cold: Mutex<ColdTracker>,
     /// What servers said of themselves in their answers.
-    pub notices: Mutex<NoticeBook>,
+    pub notices: Mutex<NoticeTracker>,
     /// What of that other boxes are yet to be told.
     pub notice_outbox: NoticeOutbox,
     /// Turns at servers that named a limit.
--- a/trackfrontd/src/serving/notices/broadcast.rs
+++ b/trackfrontd/src/serving/notices/broadcast.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, timeout};
 use trackfront_core::ids::BackendId;
 use trackfront_core::serving::cold::ColdTracker;
-use trackfront_core::serving::notices::{LimitWord, NoticeBook};
+use trackfront_core::serving::notices::{KnownLimit, NoticeTracker};
 use trackfront_core::units::Moment;
 
 use super::{note, note_cold};
@@ -93,10 +93,10 @@
                 note_cold(node, &server, Duration::from_millis(u64::from(ms)), by);
                 None
             }
-            NoticeKind::Leaves => node.notices.lock().leaves(&server, at),
+            NoticeKind::Leaves => node.notices.lock().mark_leaving(&server, at),
             NoticeKind::Limit(per_s) if !per_s.is_finite() || per_s < 0.0 => continue,
-            NoticeKind::Limit(per_s) => node.notices.lock().limit(&server, Some(per_s), at),
-            NoticeKind::LimitOver => node.notices.lock().limit(&server, None, at),
+            NoticeKind::Limit(per_s) => node.notices.lock().apply_limit(&server, Some(per_s), at),
+            NoticeKind::LimitOver => node.notices.lock().apply_limit(&server, None, at),
         };
         learned.into_iter().for_each(|learned| note(node, &server, learned, by));
     }
@@ -150,14 +150,14 @@
 
 /// Returns what other boxes are told of a server.
 fn words_on(
-    book: &NoticeBook,
+    book: &NoticeTracker,
     cold: &ColdTracker,
     server: &BackendId,
     now: Moment,
 ) -> Vec<NoticeRecord> {
     let told =
         |said, at| NoticeRecord { server: short_server(server), said, age_ms: age_ms(at, now) };
-    let limit = book.limit_of(server).map(|LimitWord { per_s, at, .. }| match per_s {
+    let limit = book.known_limit(server).map(|KnownLimit { per_s, at, .. }| match per_s {
         Some(per_s) => told(NoticeKind::Limit(per_s), at),
         None => told(NoticeKind::LimitOver, at),
     });
--- a/trackfrontd/src/serving/notices/mod.rs
+++ b/trackfrontd/src/serving/notices/mod.rs
@@ -10,7 +10,7 @@
 use trackfront_adapters::serving_metrics::KindLabel;
 use trackfront_core::ids::BackendId;
 use trackfront_core::serving::directory::KnownServer;
-use trackfront_core::serving::notices::{Learned, Source};
+use trackfront_core::serving::notices::{NoticeChange, NoticeSource};
 use trackfront_core::units::Moment;
 
 use super::node::ServingNode;
@@ -32,7 +32,7 @@
     node: &ServingNode,
     server: &Arc<KnownServer>,
     head: &ServerHead,
-    source: Source,
+    source: NoticeSource,
     by: &str,
 ) {
     let is_of_other_run = match &head.instance {
@@ -45,7 +45,7 @@
     let (id, now) = (&server.entry.id, node.now());
     let mut notice = head.notice;
     notice.back_off = notice.back_off.map(|wait| wait.mul_f64(1.0 + SPREAD * spread_of(node, id)));
-    let learned = node.notices.lock().heard(id, &notice, source, now);
+    let learned = node.notices.lock().apply(id, &notice, source, now);
     for learned in learned {
         note(node, id, learned, by);
         if is_for_all(learned) {
@@ -77,28 +77,28 @@
 }
 
 /// Returns whether other boxes have to know. For how long a server wants nothing it says to each box by itself.
-fn is_for_all(learned: Learned) -> bool {
-    !matches!(learned, Learned::BacksOff(_))
+fn is_for_all(learned: NoticeChange) -> bool {
+    !matches!(learned, NoticeChange::BacksOff(_))
 }
 
 /// Logs and counts what was learned of a server.
-fn note(node: &ServingNode, server: &BackendId, learned: Learned, by: &str) {
+fn note(node: &ServingNode, server: &BackendId, learned: NoticeChange, by: &str) {
     let kind = match learned {
-        Learned::Leaves => {
+        NoticeChange::Leaves => {
             log::info!(server:%, by; "server says that it leaves");
             LEAVES
         }
-        Learned::Limited(per_s) => {
+        NoticeChange::Limited(per_s) => {
             log::info!(server:%, per_s, by; "server limit named");
             LIMITED
         }
-        Learned::Unlimited => {
+        NoticeChange::Unlimited => {
             log::info!(server:%, by; "server limit over");
             // Requests that are held for a turn need none now.
             node.servers_changed.notify_waiters();
             UNLIMITED
         }
-        Learned::BacksOff(wait) => {
+        NoticeChange::BacksOff(wait) => {
             log::info!(server:%, ms = wait.as_millis() as u64, by; "server asks to back off");
             BACKS_OFF
         }
@@ -114,7 +114,7 @@
     let counts = [
         (LEAVES, book.leaving().count()),
         (LIMITED, book.limits().count()),
-        (BACKS_OFF, book.backing_off(now)),
+        (BACKS_OFF, book.backing_off_count(now)),
     ];
     for (kind, count) in counts {
         node.metrics.noticed_servers.get_or_create(&KindLabel { kind }).set(count as i64);
--- a/trackfrontd/src/serving/order_task.rs
+++ b/trackfrontd/src/serving/order_task.rs
@@ -11,7 +11,7 @@
 use trackfront_core::ids::{AdapterName, BackendId};
 use trackfront_core::serving::config::EngineSpec;
 use trackfront_core::serving::directory::{KnownServer, Residents};
-use trackfront_core::serving::notices::Source;
+use trackfront_core::serving::notices::NoticeSource;
 use trackfront_core::serving::orders::{
     EngineOrder, EngineReport, ORDER_TIMEOUT, Operation, OrderAnswer, check,
 };
@@ -379,14 +379,14 @@
 
     /// Returns the limit that the engine named, in requests a second.
     fn limit(&self) -> Option<f64> {
-        self.node.notices.lock().per_s(self.id())
+        self.node.notices.lock().limit_per_s(self.id())
     }
 
     /// Waits until the engine may be sent what is for no client, which comes out of what it takes for clients; `None` if
     /// it may not be sent that for now.
     async fn wait_for_right(&self) -> Option<CallRight> {
         let now = self.node.now();
-        if self.node.notices.lock().backs_off_until(self.id(), now).is_some() {
+        if self.node.notices.lock().backoff_until(self.id(), now).is_some() {
             return None;
         }
         let turn = permits::acquire(&self.node, self.id(), TURN_PATIENCE).await.ok()?;
@@ -404,7 +404,7 @@
     /// Hears what the engine says of itself in an answer that is for no client. That it names no limit there says nothing.
     fn hear(&self, answer: &UpstreamAnswer, sent: Moment) {
         let head = self.node.ports.servers.read_head(&answer.head);
-        let source = Source { sent, is_answer: false };
+        let source = NoticeSource { sent, is_answer: false };
         notices::observe_head(&self.node, &self.server, &head, source, "an order or report");
     }
 
--- a/trackfrontd/src/serving/overlay.rs
+++ b/trackfrontd/src/serving/overlay.rs
@@ -8,7 +8,7 @@
 use trackfront_core::serving::choice::{ServerView, Unavailable, UnavailableCause};
 use trackfront_core::serving::cold::ColdState;
 use trackfront_core::serving::directory::KnownServer;
-use trackfront_core::serving::notices::NoticeBook;
+use trackfront_core::serving::notices::NoticeTracker;
 use trackfront_core::serving::permits::PermitGates;
 use trackfront_core::serving::request::ModelRef;
 use trackfront_core::units::Moment;
@@ -122,7 +122,7 @@
     /// The cold servers.
     pub cold: ColdView<'a>,
     /// What servers said of themselves.
-    pub notices: &'a NoticeBook,
+    pub notices: &'a NoticeTracker,
     /// When turns may be asked for at servers with a limit; `None` where they are waited for.
     pub gates: Option<&'a PermitGates>,
     /// The present moment.
@@ -155,10 +155,10 @@
     }
 
     fn unavailable(&self, server: &BackendId) -> Option<Unavailable> {
-        if let Some(until) = self.notices.backs_off_until(server, self.now) {
+        if let Some(until) = self.notices.backoff_until(server, self.now) {
             return Some(Unavailable { until, cause: UnavailableCause::BacksOff });
         }
-        self.notices.per_s(server)?;
+        self.notices.limit_per_s(server)?;
         let until = self.gates?.closed_until(server, self.now)?;
         Some(Unavailable { until, cause: UnavailableCause::Limited })
     }
--- a/trackfrontd/src/serving/permits.rs
+++ b/trackfrontd/src/serving/permits.rs
@@ -76,7 +76,7 @@
     server: &BackendId,
     patience: Duration,
 ) -> Result<Option<Permit>, NoPermit> {
-    let Some(per_s) = node.notices.lock().per_s(server) else {
+    let Some(per_s) = node.notices.lock().limit_per_s(server) else {
         return Ok(None);
     };
     let from = ask(node, server, per_s, patience).await;
@@ -181,7 +181,7 @@
 fn give(node: &ServingNode, ask: &PermitRequest) -> PermitAnswer {
     let now = node.now();
     let server = node.names.lock().server(ask.server).cloned();
-    let known = server.and_then(|server| node.notices.lock().per_s(&server));
+    let known = server.and_then(|server| node.notices.lock().limit_per_s(&server));
     let (reached, all) = {
         let peers = node.peers.lock();
         (peers.reachable(now).len() + 1, peers.sharing(now))
--- a/trackfrontd/src/serving/pipeline/attempt.rs
+++ b/trackfrontd/src/serving/pipeline/attempt.rs
@@ -16,7 +16,7 @@
 use trackfront_core::serving::directory::KnownServer;
 use trackfront_core::serving::fingerprint::Fingerprint;
 use trackfront_core::serving::load::{AttemptOutcome, TrackedRequest};
-use trackfront_core::serving::notices::Source;
+use trackfront_core::serving::notices::NoticeSource;
 use trackfront_core::serving::permits::Permit;
 use trackfront_core::serving::request::ModelRef;
 use trackfront_core::units::Moment;
@@ -248,7 +248,7 @@
             Some(id) => *id == self.info.id,
             None => answer.is_first,
         };
-        let source = Source { sent: choice.at, is_answer: is_ours && head.signed };
+        let source = NoticeSource { sent: choice.at, is_answer: is_ours && head.signed };
         notices::observe_head(node, &choice.server, &head, source, self.info.id.as_str());
         if !is_ours {
             held.end(AttemptOutcome::Failed);
--- a/trackfrontd/src/serving/placement.rs
+++ b/trackfrontd/src/serving/placement.rs
@@ -192,11 +192,11 @@
         let notices = self.node.notices.lock();
         let limited = engines.iter().map(|server| Limited {
             models: &server.entry.models,
-            per_s: notices.per_s(&server.entry.id),
+            per_s: notices.limit_per_s(&server.entry.id),
         });
         let takes_part = takes_part(&limited.collect::<Vec<_>>(), demand);
         let backs_off =
-            |server: &KnownServer| notices.backs_off_until(&server.entry.id, now).is_some();
+            |server: &KnownServer| notices.backoff_until(&server.entry.id, now).is_some();
         let all = engines.into_iter().zip(takes_part).filter(|(_, takes_part)| *takes_part);
         all.map(|(server, _)| (server, backs_off(server))).collect()
     }
