--- a/trackfront_core/src/serving/adapter_use.rs
+++ b/trackfront_core/src/serving/adapter_use.rs
@@ -14,13 +14,13 @@
 const PEER_FIGURES_FOR: Duration = Duration::from_secs(2);
 
 /// An adapter on one server.
-pub type AdapterPlace = (BackendId, ModelRef);
+pub type ServerAdapter = (BackendId, ModelRef);
 
 /// Counts the requests in progress for each adapter on each server.
 #[derive(Debug, Default)]
 pub struct AdapterUse {
-    own: HashMap<AdapterPlace, u32>,
-    peers: HashMap<u32, (BTreeSet<AdapterPlace>, Moment)>,
+    own: HashMap<ServerAdapter, u32>,
+    peers: HashMap<u32, (BTreeSet<ServerAdapter>, Moment)>,
 }
 
 impl AdapterUse {
@@ -45,12 +45,12 @@
     }
 
     /// Returns what this node's own requests use.
-    pub fn own(&self) -> impl Iterator<Item = &AdapterPlace> {
+    pub fn own(&self) -> impl Iterator<Item = &ServerAdapter> {
         self.own.keys()
     }
 
     /// Notes what a peer's requests use: what it told before is replaced.
-    pub fn told(&mut self, peer: u32, places: BTreeSet<AdapterPlace>, now: Moment) {
+    pub fn apply_peer_report(&mut self, peer: u32, places: BTreeSet<ServerAdapter>, now: Moment) {
         self.peers.insert(peer, (places, now));
     }
 
--- a/trackfront_core/src/serving/affinity.rs
+++ b/trackfront_core/src/serving/affinity.rs
@@ -48,20 +48,20 @@
 
 /// The prefixes that engines likely keep.
 #[derive(Debug, Default)]
-pub struct PromptMemory {
+pub struct PrefixIndex {
     young: Generation,
     old: Generation,
 }
 
-impl PromptMemory {
+impl PrefixIndex {
     /// Returns how many tokens of a prompt `engine` likely keeps.
-    pub fn cached(&self, prefixes: &[Prefix], engine: &BackendId, now: Moment) -> u32 {
+    pub fn cached_tokens(&self, prefixes: &[Prefix], engine: &BackendId, now: Moment) -> u32 {
         let kept = prefixes.iter().rev().find(|prefix| self.keeps(prefix.hash, engine, now));
         kept.map_or(0, |prefix| prefix.tokens)
     }
 
     /// Notes that an engine reads a prompt.
-    pub fn read(&mut self, prefixes: &[Prefix], engine: &BackendId, now: Moment) {
+    pub fn record_prefill(&mut self, prefixes: &[Prefix], engine: &BackendId, now: Moment) {
         for prefix in prefixes {
             self.note(prefix.hash, engine, now);
         }
--- a/trackfront_core/src/serving/choice.rs
+++ b/trackfront_core/src/serving/choice.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::ids::{BackendId, HallName};
-use crate::serving::affinity::{Prefix, PromptMemory};
+use crate::serving::affinity::{Prefix, PrefixIndex};
 use crate::serving::cold::ColdState;
 use crate::serving::directory::KnownServer;
 use crate::serving::load::{LoadTracker, RANKS};
@@ -171,7 +171,7 @@
     query: &Query<'_>,
     servers: impl IntoIterator<Item = &'a Arc<KnownServer>>,
     loads: &mut LoadTracker,
-    memory: &PromptMemory,
+    memory: &PrefixIndex,
     view: &dyn ServerView,
 ) -> Result<Choice, NoChoice> {
     let mut best: Option<(f64, Choice)> = None;
@@ -279,12 +279,12 @@
     query: &Query<'_>,
     server: &Arc<KnownServer>,
     loads: &mut LoadTracker,
-    memory: &PromptMemory,
+    memory: &PrefixIndex,
     view: &dyn ServerView,
 ) -> (f64, Choice) {
     let now = query.now;
     let id = &server.entry.id;
-    let cached_tokens = memory.cached(query.prefixes, id, now);
+    let cached_tokens = memory.cached_tokens(query.prefixes, id, now);
     let token_cost = query.info.model.as_ref().map(|item| loads.prefill_ms_per_token(&item.model));
     let load = loads.server(id);
     let total = load.total(now);
--- a/trackfront_core/src/serving/decode_speed.rs
+++ b/trackfront_core/src/serving/decode_speed.rs
@@ -22,7 +22,7 @@
 }
 
 impl Sums {
-    fn note(&mut self, tokens: f64, took_ms: f64) {
+    fn record(&mut self, tokens: f64, took_ms: f64) {
         self.tokens = self.tokens * KEPT_PART + tokens;
         self.took_ms = self.took_ms * KEPT_PART + took_ms;
     }
@@ -41,10 +41,10 @@
 
 impl DecodeSpeeds {
     /// Notes that an answer that was expected to have `tokens` took `took_ms` after its first event.
-    pub fn note(&mut self, model: &ModelName, tokens: u32, took_ms: f64) {
+    pub fn record(&mut self, model: &ModelName, tokens: u32, took_ms: f64) {
         let tokens = f64::from(tokens);
-        self.models.entry(model.clone()).or_default().note(tokens, took_ms);
-        self.all.note(tokens, took_ms);
+        self.models.entry(model.clone()).or_default().record(tokens, took_ms);
+        self.all.record(tokens, took_ms);
     }
 
     /// Returns the time for one token of `model`, in milliseconds; for a model that was not measured
--- a/trackfront_core/src/serving/forecast.rs
+++ b/trackfront_core/src/serving/forecast.rs
@@ -45,7 +45,7 @@
 
 impl Forecast {
     /// Notes that what was expected to take `expected_ms` took `came_ms`.
-    pub fn note(&mut self, expected_ms: f64, came_ms: f64) {
+    pub fn record(&mut self, expected_ms: f64, came_ms: f64) {
         for count in &mut self.bins {
             *count *= KEPT_PART;
         }
--- a/trackfront_core/src/serving/load.rs
+++ b/trackfront_core/src/serving/load.rs
@@ -337,7 +337,7 @@
         counted.first_event = Some(now);
         self.server(&counted.server.clone()).note_reachable();
         let took_ms = now.since(counted.began).as_secs_f64() * 1_000.0;
-        self.forecasts.of(true, counted.had_slot).note(counted.expected_ms, took_ms);
+        self.forecasts.of(true, counted.had_slot).record(counted.expected_ms, took_ms);
         // The time to wait for a slot says nothing of the speed of reading.
         let Some(model) = counted.model.as_ref().filter(|_| counted.had_slot) else {
             return;
@@ -355,13 +355,13 @@
         let took_ms = now.since(counted.began).as_secs_f64() * 1_000.0;
         let plain = counted.model.is_none();
         if plain && ending == AttemptOutcome::Answered {
-            self.forecasts.of(false, counted.had_slot).note(counted.expected_ms, took_ms);
+            self.forecasts.of(false, counted.had_slot).record(counted.expected_ms, took_ms);
         }
         if ending == AttemptOutcome::Answered
             && let (Some(model), Some(first)) = (&counted.model, counted.first_event)
         {
             let made_ms = now.since(first).as_secs_f64() * 1_000.0;
-            self.decode_speeds.note(model, counted.output_tokens, made_ms);
+            self.decode_speeds.record(model, counted.output_tokens, made_ms);
         }
         let load = self.server(&counted.server);
         let own = &mut load.own.by_rank[counted.rank];
--- a/trackfront_core/src/serving/returns.rs
+++ b/trackfront_core/src/serving/refusal_retries.rs
@@ -45,19 +45,19 @@
 
 /// The waits of requests, by route.
 #[derive(Debug, Default)]
-pub struct Returns {
+pub struct RefusalRetries {
     routes: HashMap<String, Seen>,
 }
 
-impl Returns {
+impl RefusalRetries {
     /// Takes in a request of a route whose client waits for `left` from now. Returns how long ago the client
     /// first tried; zero if this is likely its first try, or if it cannot be told.
-    pub fn note(&mut self, route: &str, left: Duration, now: Moment) -> Duration {
+    pub fn record(&mut self, route: &str, left: Duration, now: Moment) -> Duration {
         if !self.routes.contains_key(route) {
             self.routes.insert(route.to_owned(), Seen::default());
         }
         let seen = self.routes.get_mut(route).expect("it was just put in");
-        seen.note(left.as_secs_f64() * 1_000.0, now)
+        seen.record(left.as_secs_f64() * 1_000.0, now)
     }
 
     /// Forgets routes that are not among `known`.
@@ -67,7 +67,7 @@
 }
 
 impl Seen {
-    fn note(&mut self, left_ms: f64, now: Moment) -> Duration {
+    fn record(&mut self, left_ms: f64, now: Moment) -> Duration {
         let halves = now.since(self.at).as_secs_f64() / LONGEST_HALF_LIFE.as_secs_f64();
         self.longest_ms = (self.longest_ms * 0.5f64.powf(halves)).max(left_ms);
         self.at = now;
--- a/trackfront_core/src/serving/retry_budget.rs
+++ b/trackfront_core/src/serving/retry_budget.rs
@@ -88,7 +88,7 @@
     }
 
     /// Takes one send more, if `nodes` nodes that share the budget leave it.
-    pub fn take(&mut self, service: &ServiceName, nodes: usize, now: Moment) -> bool {
+    pub fn try_take(&mut self, service: &ServiceName, nodes: usize, now: Moment) -> bool {
         let number = self.number(now);
         let slack = self.terms.slack * SLACK_PART / nodes.max(1) as f64;
         let ratio = self.terms.ratio * RATIO_PART;
--- a/trackfront_core/src/serving/spread.rs
+++ b/trackfront_core/src/serving/sampling.rs
@@ -16,7 +16,7 @@
 const COMPARED: usize = 2;
 
 /// Returns a few of the servers that are `usable`, of those in the box's own hall if there are any.
-pub fn some_of<'a>(
+pub fn sample_servers<'a>(
     servers: impl Iterator<Item = &'a Arc<KnownServer>>,
     hall: &HallName,
     usable: impl Fn(&KnownServer) -> bool,
--- a/trackfront_core/src/serving/crowding.rs
+++ b/trackfront_core/src/serving/saturation.rs
@@ -33,11 +33,11 @@
 
 /// The share of refused requests, by service.
 #[derive(Debug, Default)]
-pub struct Crowding {
+pub struct Saturation {
     services: HashMap<ServiceName, Counts>,
 }
 
-impl Crowding {
+impl Saturation {
     /// Counts a request that was sent to a server, or refused.
     pub fn count(&mut self, service: &ServiceName, refused: bool, now: Moment) {
         let counts = self.services.entry(service.clone()).or_default();
@@ -47,7 +47,7 @@
     }
 
     /// Returns the share of requests that were refused lately, from 0 to 1.
-    pub fn share(&self, service: &ServiceName, now: Moment) -> f64 {
+    pub fn refused_fraction(&self, service: &ServiceName, now: Moment) -> f64 {
         let counts = self.services.get(service).copied().unwrap_or_default().at(now);
         counts.refused / (counts.asked + PRIOR_REQUESTS)
     }
--- a/trackfront_core/tests/serving.rs
+++ b/trackfront_core/tests/serving.rs
@@ -6,13 +6,11 @@
     mod accounts;
     mod adapter_use;
     mod affinity;
-    mod budget;
     mod choice;
     mod cold;
     mod config;
     mod crashes;
     mod crashes_random;
-    mod crowding;
     mod demand;
     mod directory;
     mod directory_listed;
@@ -28,6 +26,8 @@
     mod places;
     mod planner;
     mod planner_random;
-    mod returns;
-    mod spread;
+    mod refusal_retries;
+    mod retry_budget;
+    mod sampling;
+    mod saturation;
 }
--- a/trackfront_core/tests/serving/adapter_use.rs
+++ b/trackfront_core/tests/serving/adapter_use.rs
@@ -24,10 +24,14 @@
 fn what_peers_told_counts_for_a_while() {
     let mut adapters = AdapterUse::default();
     let (server, first, second) = ("x".into(), item("m", Some("a1")), item("m", Some("a2")));
-    adapters.told(1, BTreeSet::from([(BackendId::from("x"), first.clone())]), at(0));
-    adapters.told(2, BTreeSet::from([(BackendId::from("x"), second.clone())]), at(1_500));
+    adapters.apply_peer_report(1, BTreeSet::from([(BackendId::from("x"), first.clone())]), at(0));
+    adapters.apply_peer_report(
+        2,
+        BTreeSet::from([(BackendId::from("x"), second.clone())]),
+        at(1_500),
+    );
     assert_eq!(adapters.by_server(at(1_600))[&server], BTreeSet::from([first, second.clone()]));
     assert_eq!(adapters.by_server(at(2_500))[&server], BTreeSet::from([second]));
-    adapters.told(2, BTreeSet::new(), at(2_600));
+    adapters.apply_peer_report(2, BTreeSet::new(), at(2_600));
     assert!(adapters.by_server(at(2_700)).is_empty());
 }
--- a/trackfront_core/tests/serving/affinity.rs
+++ b/trackfront_core/tests/serving/affinity.rs
@@ -1,5 +1,5 @@
 use trackfront_core::ids::BackendId;
-use trackfront_core::serving::affinity::{PromptMemory, prefixes};
+use trackfront_core::serving::affinity::{PrefixIndex, prefixes};
 use trackfront_core::serving::request::PromptPart;
 
 use super::support::{at, item};
@@ -10,38 +10,39 @@
 
 #[test]
 fn only_what_is_shared_from_the_start_is_kept() {
-    let (mut memory, id) = (PromptMemory::default(), BackendId::from("x"));
+    let (mut memory, id) = (PrefixIndex::default(), BackendId::from("x"));
     let model = item("m", None);
-    memory.read(&prefixes(&model, &prompt(&[(1, 100), (2, 50), (3, 10)])), &id, at(0));
-    let cached = |memory: &PromptMemory, model, parts| {
-        memory.cached(&prefixes(model, &prompt(parts)), &id, at(1_000))
+    memory.record_prefill(&prefixes(&model, &prompt(&[(1, 100), (2, 50), (3, 10)])), &id, at(0));
+    let cached = |memory: &PrefixIndex, model, parts| {
+        memory.cached_tokens(&prefixes(model, &prompt(parts)), &id, at(1_000))
     };
     assert_eq!(cached(&memory, &model, &[(1, 100), (2, 50), (9, 10)]), 150);
     assert_eq!(cached(&memory, &model, &[(1, 100), (9, 50), (3, 10)]), 100);
     assert_eq!(cached(&memory, &model, &[(2, 50), (1, 100)]), 0);
     assert_eq!(cached(&memory, &item("m", Some("a1")), &[(1, 100)]), 0, "adapters differ");
     let other = prefixes(&model, &prompt(&[(1, 100)]));
-    assert_eq!(memory.cached(&other, &BackendId::from("y"), at(1_000)), 0);
+    assert_eq!(memory.cached_tokens(&other, &BackendId::from("y"), at(1_000)), 0);
 }
 
 #[test]
 fn what_was_not_used_for_long_is_taken_for_dropped() {
-    let (mut memory, id) = (PromptMemory::default(), BackendId::from("x"));
+    let (mut memory, id) = (PrefixIndex::default(), BackendId::from("x"));
     let found = prefixes(&item("m", None), &prompt(&[(1, 100)]));
-    memory.read(&found, &id, at(0));
-    assert_eq!(memory.cached(&found, &id, at(29_000)), 100);
-    assert_eq!(memory.cached(&found, &id, at(31_000)), 0);
+    memory.record_prefill(&found, &id, at(0));
+    assert_eq!(memory.cached_tokens(&found, &id, at(29_000)), 100);
+    assert_eq!(memory.cached_tokens(&found, &id, at(31_000)), 0);
 }
 
 #[test]
 fn the_memory_is_bounded_and_forgets_the_oldest() {
-    let (mut memory, id) = (PromptMemory::default(), BackendId::from("x"));
+    let (mut memory, id) = (PrefixIndex::default(), BackendId::from("x"));
     let model = item("m", None);
     for part in 0..50_000 {
-        memory.read(&prefixes(&model, &prompt(&[(part, 1)])), &id, at(0));
+        memory.record_prefill(&prefixes(&model, &prompt(&[(part, 1)])), &id, at(0));
     }
-    let kept = (0..50_000)
-        .filter(|part| memory.cached(&prefixes(&model, &prompt(&[(*part, 1)])), &id, at(0)) > 0);
+    let kept = (0..50_000).filter(|part| {
+        memory.cached_tokens(&prefixes(&model, &prompt(&[(*part, 1)])), &id, at(0)) > 0
+    });
     assert!(kept.count() <= 20_000);
-    assert_eq!(memory.cached(&prefixes(&model, &prompt(&[(49_999, 1)])), &id, at(0)), 1);
+    assert_eq!(memory.cached_tokens(&prefixes(&model, &prompt(&[(49_999, 1)])), &id, at(0)), 1);
 }
--- a/trackfront_core/tests/serving/choice.rs
+++ b/trackfront_core/tests/serving/choice.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use trackfront_core::ids::{BackendId, HallName, RegionName};
-use trackfront_core::serving::affinity::{PromptMemory, prefixes};
+use trackfront_core::serving::affinity::{PrefixIndex, prefixes};
 use trackfront_core::serving::choice::{
     Choice, NoChoice, Query, ServerView, Unavailable, UnavailableCause, choose,
 };
@@ -57,7 +57,7 @@
     servers: Vec<ServerEntry>,
     info: RequestInfo,
     loads: LoadTracker,
-    memory: PromptMemory,
+    memory: PrefixIndex,
     notes: Notes,
     tried: Vec<BackendId>,
     evacuations: Evacuations,
@@ -71,7 +71,7 @@
         servers,
         info,
         loads: LoadTracker::default(),
-        memory: PromptMemory::default(),
+        memory: PrefixIndex::default(),
         notes: Notes::default(),
         tried: Vec::new(),
         evacuations: Evacuations::default(),
@@ -133,7 +133,7 @@
     let mut case = case(servers, info(Some(item("m", None)), 1_000));
     case.info.prompt = vec![PromptPart { id: 1, tokens: 900 }];
     let found = prefixes(&item("m", None), &case.info.prompt);
-    case.memory.read(&found, &"y".into(), at(0));
+    case.memory.record_prefill(&found, &"y".into(), at(0));
     case.busy("y", 500);
     assert_eq!(case.chosen(), "y");
     case.busy("y", 2_000);
--- a/trackfront_core/tests/serving/forecast.rs
+++ b/trackfront_core/tests/serving/forecast.rs
@@ -11,7 +11,7 @@
 fn what_came_twice_too_late_is_expected_to_come_so_again() {
     let mut forecast = Forecast::default();
     for _ in 0..2_000 {
-        forecast.note(100.0, 200.0);
+        forecast.record(100.0, 200.0);
     }
     assert!(forecast.within(100.0, 120.0) < 0.05);
     assert!(forecast.within(100.0, 300.0) > 0.95);
@@ -21,7 +21,7 @@
 fn the_share_in_time_is_that_of_those_that_were() {
     let mut forecast = Forecast::default();
     for round in 0..4_000 {
-        forecast.note(100.0, if round % 4 == 0 { 600.0 } else { 80.0 });
+        forecast.record(100.0, if round % 4 == 0 { 600.0 } else { 80.0 });
     }
     let share = forecast.within(100.0, 200.0);
     assert!((share - 0.75).abs() < 0.05, "{share}");
@@ -31,7 +31,7 @@
 fn some_milliseconds_on_an_idle_server_are_no_error() {
     let mut forecast = Forecast::default();
     for _ in 0..2_000 {
-        forecast.note(1.0, 6.0);
+        forecast.record(1.0, 6.0);
     }
     assert!(forecast.within(100.0, 130.0) > 0.4);
 }
--- a/trackfront_core/tests/serving/returns.rs
+++ b/trackfront_core/tests/serving/refusal_retries.rs
@@ -5,7 +5,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use trackfront_core::serving::returns::Returns;
+use trackfront_core::serving::refusal_retries::RefusalRetries;
 
 use super::support::at;
 
@@ -15,33 +15,33 @@
 
 #[test]
 fn who_waits_clearly_less_than_usual_has_tried_before() {
-    let mut returns = Returns::default();
+    let mut returns = RefusalRetries::default();
     for number in 0..50 {
         let usual = 3_600 + number * 8;
-        assert_eq!(returns.note("r", ms(usual), at(number)), Duration::ZERO);
+        assert_eq!(returns.record("r", ms(usual), at(number)), Duration::ZERO);
     }
-    let before = returns.note("r", ms(2_500), at(60));
+    let before = returns.record("r", ms(2_500), at(60));
     assert!((ms(1_100)..ms(1_500)).contains(&before), "{before:?}");
-    assert_eq!(returns.note("r", ms(3_700), at(61)), Duration::ZERO);
-    assert_eq!(returns.note("other", ms(2_500), at(62)), Duration::ZERO, "another route");
+    assert_eq!(returns.record("r", ms(3_700), at(61)), Duration::ZERO);
+    assert_eq!(returns.record("other", ms(2_500), at(62)), Duration::ZERO, "another route");
 }
 
 #[test]
 fn a_route_whose_clients_all_wait_differently_tells_nothing() {
-    let mut returns = Returns::default();
+    let mut returns = RefusalRetries::default();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for number in 0..500 {
         let waits = ms(rng.random_range(200..10_000));
-        let before = returns.note("r", waits, at(number));
+        let before = returns.record("r", waits, at(number));
         assert!(number < 100 || before == Duration::ZERO, "{number}: {before:?}");
     }
 }
 
 #[test]
 fn the_first_requests_of_a_route_are_no_returns() {
-    let mut returns = Returns::default();
-    assert_eq!(returns.note("r", ms(4_000), at(0)), Duration::ZERO);
-    assert_eq!(returns.note("r", ms(1_000), at(1)), Duration::ZERO);
+    let mut returns = RefusalRetries::default();
+    assert_eq!(returns.record("r", ms(4_000), at(0)), Duration::ZERO);
+    assert_eq!(returns.record("r", ms(1_000), at(1)), Duration::ZERO);
 }
 
 /// The slots of a service, and how long a call takes, in milliseconds.
@@ -70,7 +70,7 @@
 /// 1.3 s. `return_part` is the part of the target in which what is late already has to be answered.
 fn play(return_part: f64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
-    let mut returns = Returns::default();
+    let mut returns = RefusalRetries::default();
     let mut outcome = Outcome::default();
     let mut waiting: VecDeque<Client> = VecDeque::new();
     let mut running: Vec<(u64, Client)> = Vec::new();
@@ -84,7 +84,7 @@
             coming.extract_if(.., |(when, _)| *when <= now).map(|(_, client)| client).collect();
         for client in due {
             let left = client.waits - (now - client.began);
-            let before = returns.note("r", ms(left), at(now));
+            let before = returns.record("r", ms(left), at(now));
             let wait_ms = waiting.len() as u64 * CALL_MS / SLOTS as u64 + CALL_MS;
             let left_ms = TARGET_MS.saturating_sub(before.as_millis() as u64);
             let limit_ms = match before.is_zero() {
--- a/trackfront_core/tests/serving/budget.rs
+++ b/trackfront_core/tests/serving/retry_budget.rs
@@ -18,7 +18,7 @@
                 budget.count(&service, at(ms));
                 requests.push(ms);
             }
-            while budget.take(&service, nodes, at(ms)) {
+            while budget.try_take(&service, nodes, at(ms)) {
                 repeats.push(ms);
             }
         }
@@ -46,14 +46,14 @@
     for _ in 0..100 {
         budgets.count(&"busy".into(), at(0));
     }
-    assert!(!budgets.take(&"idle".into(), 1, at(1)));
-    assert!(budgets.take(&"busy".into(), 1, at(1)));
+    assert!(!budgets.try_take(&"idle".into(), 1, at(1)));
+    assert!(budgets.try_take(&"busy".into(), 1, at(1)));
 }
 
 #[test]
 fn new_terms_count_at_once() {
     let mut budgets = RetryBudgets::new(TERMS);
-    assert!(budgets.take(&"s".into(), 1, at(0)));
+    assert!(budgets.try_take(&"s".into(), 1, at(0)));
     budgets.set_terms(BudgetTerms { ratio: 0.0, slack: 0.0, ..TERMS });
-    assert!(!budgets.take(&"s".into(), 1, at(1)));
+    assert!(!budgets.try_take(&"s".into(), 1, at(1)));
 }
--- a/trackfront_core/tests/serving/spread.rs
+++ b/trackfront_core/tests/serving/sampling.rs
@@ -5,7 +5,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use trackfront_core::serving::directory::ServerEntry;
-use trackfront_core::serving::spread::some_of;
+use trackfront_core::serving::sampling::sample_servers;
 
 use super::choice::case;
 use super::support::{entry, info, item, known};
@@ -24,7 +24,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut got: HashMap<String, usize> = HashMap::new();
     for _ in 0..REQUESTS {
-        let some = some_of(servers.iter(), &"a".into(), |_| true, &mut rng);
+        let some = sample_servers(servers.iter(), &"a".into(), |_| true, &mut rng);
         let some: Vec<_> = some.into_iter().cloned().collect();
         // Each request comes to a box that knows nothing of the load.
         let chosen = case(Vec::new(), info(Some(item("m", None)), 1_000)).choose_among(&some);
@@ -41,12 +41,12 @@
         known(vec![in_hall("x".into(), "a"), in_hall("y".into(), "b"), in_hall("z".into(), "b")]);
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     for _ in 0..50 {
-        let some = some_of(servers.iter(), &"a".into(), |_| true, &mut rng);
+        let some = sample_servers(servers.iter(), &"a".into(), |_| true, &mut rng);
         assert_eq!(some.len(), 1);
         assert_eq!(some[0].entry.id, "x".into());
         let without = |server: &_| !std::ptr::eq(server, servers[0].as_ref());
-        let some = some_of(servers.iter(), &"a".into(), without, &mut rng);
+        let some = sample_servers(servers.iter(), &"a".into(), without, &mut rng);
         assert!(some.len() == 2 && some.iter().all(|server| server.entry.zone == "b".into()));
     }
-    assert!(some_of(servers.iter(), &"a".into(), |_| false, &mut rng).is_empty());
+    assert!(sample_servers(servers.iter(), &"a".into(), |_| false, &mut rng).is_empty());
 }
--- a/trackfrontd/src/serving/gossip.rs
+++ b/trackfrontd/src/serving/gossip.rs
@@ -231,7 +231,7 @@
     let in_use = told.in_use.iter().filter_map(|(server, item)| {
         Some((names.server(*server)?.clone(), names.item(*item)?.clone()))
     });
-    node.adapter_use.lock().told(ip.to_bits(), in_use.collect(), node.now());
+    node.adapter_use.lock().apply_peer_report(ip.to_bits(), in_use.collect(), node.now());
     let lacks: Vec<ModelRef> =
         told.lacks.iter().filter_map(|item| names.item(*item).cloned()).collect();
     drop(names);
--- a/trackfrontd/src/serving/node.rs
+++ b/trackfrontd/src/serving/node.rs
@@ -14,18 +14,18 @@
 use trackfront_core::ids::{BackendId, HallName};
 use trackfront_core::ports::{Clock, Knowledge, Table};
 use trackfront_core::serving::adapter_use::AdapterUse;
-use trackfront_core::serving::affinity::PromptMemory;
+use trackfront_core::serving::affinity::PrefixIndex;
 use trackfront_core::serving::cold::ColdTracker;
 use trackfront_core::serving::config::ServingConfig;
-use trackfront_core::serving::crowding::Crowding;
 use trackfront_core::serving::demand::DemandMeter;
 use trackfront_core::serving::directory::{Directory, KnownServer};
 use trackfront_core::serving::load::LoadTracker;
 use trackfront_core::serving::notices::NoticeTracker;
 use trackfront_core::serving::places::Evacuations;
+use trackfront_core::serving::refusal_retries::RefusalRetries;
 use trackfront_core::serving::request::ModelRef;
 use trackfront_core::serving::retry_budget::RetryBudgets;
-use trackfront_core::serving::returns::Returns;
+use trackfront_core::serving::saturation::Saturation;
 use trackfront_core::units::Moment;
 
 use crate::quotas::Quotas;
@@ -103,13 +103,13 @@
     /// Turns at servers that named a limit.
     pub permits: ServerPermits,
     /// Prompts that engines keep.
-    pub memory: Mutex<PromptMemory>,
+    pub memory: Mutex<PrefixIndex>,
     /// The budget of retries.
     pub budgets: Mutex<RetryBudgets>,
     /// What share of requests found no free server.
-    pub crowding: Mutex<Crowding>,
+    pub crowding: Mutex<Saturation>,
     /// Which requests come back after a refusal.
-    pub returns: Mutex<Returns>,
+    pub returns: Mutex<RefusalRetries>,
     /// The demand for models.
     pub demand: Mutex<DemandMeter>,
     /// The adapters that requests in progress use.
--- a/trackfrontd/src/serving/pipeline/attempt.rs
+++ b/trackfrontd/src/serving/pipeline/attempt.rs
@@ -312,7 +312,7 @@
         let mut counted = node.loads.lock().begin(id, slots, model, work, now);
         counted.expect(choice.estimate);
         if !self.prefixes.is_empty() {
-            node.memory.lock().read(&self.prefixes, id, now);
+            node.memory.lock().record_prefill(&self.prefixes, id, now);
         }
         let item = self.info.model.clone();
         if let Some(item) = &item {
--- a/trackfrontd/src/serving/pipeline/choice.rs
+++ b/trackfrontd/src/serving/pipeline/choice.rs
@@ -7,7 +7,7 @@
 use trackfront_core::serving::cold::ColdStart;
 use trackfront_core::serving::directory::KnownServer;
 use trackfront_core::serving::places::{Evacuations, Places};
-use trackfront_core::serving::spread::some_of;
+use trackfront_core::serving::sampling::sample_servers;
 
 use super::Job;
 use crate::serving::cold::ColdView;
@@ -75,7 +75,7 @@
                     && !loads.is_paused(id, query.now)
             };
             let some = servers.iter().copied();
-            let some = some_of(some, query.hall, usable, &mut rand::rng());
+            let some = sample_servers(some, query.hall, usable, &mut rand::rng());
             let found = choose(&query, some, &mut loads, &memory, &view);
             found.or_else(|_| choose(&query, servers, &mut loads, &memory, &view))
         };
--- a/trackfrontd/src/serving/pipeline/mod.rs
+++ b/trackfrontd/src/serving/pipeline/mod.rs
@@ -167,7 +167,7 @@
     })?;
     let since_first_try = info
         .deadline
-        .map_or(Duration::ZERO, |left| node.returns.lock().note(&route.name, left, node.now()));
+        .map_or(Duration::ZERO, |left| node.returns.lock().record(&route.name, left, node.now()));
     let service = route.service_for(short_hash(info.id.as_str())).clone();
     let prefixes = info.model.as_ref().map_or_else(Vec::new, |item| prefixes(item, &info.prompt));
     let fingerprint = fingerprint(&head, account.as_deref(), &body);
@@ -344,7 +344,7 @@
     pub fn take_retry(&self) -> bool {
         let now = self.node.now();
         let nodes = self.node.peers.lock().sharing(now);
-        self.node.budgets.lock().take(&self.service, nodes, now)
+        self.node.budgets.lock().try_take(&self.service, nodes, now)
     }
 
     /// Returns the present moment on the line of this request's times, which counts suspensions of the machine: timers
--- a/trackfrontd/src/serving/pipeline/retry_after.rs
+++ b/trackfrontd/src/serving/pipeline/retry_after.rs
@@ -57,7 +57,7 @@
 
     /// Returns when to come back if the next free slot is `wait` away.
     pub fn retry_after_wait(&self, wait: Duration) -> Duration {
-        let share = self.node.crowding.lock().share(&self.service, self.node.now());
+        let share = self.node.crowding.lock().refused_fraction(&self.service, self.node.now());
         self.spread(wait.max(MIN_RETRY_AFTER) + SATURATION_EXTRA_WAIT.mul_f64(share))
     }
 
