--- a/trackfrontd/src/serving/cold.rs
+++ b/trackfrontd/src/serving/cold.rs
@@ -12,7 +12,7 @@
 use super::node::ServingNode;
 
 /// How often the boxes that may send to cold servers are looked at anew.
-const BOXES_EVERY: Duration = Duration::from_millis(500);
+const BOXES_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What is known of cold servers of one service.
 #[derive(Clone, Copy)]
@@ -58,7 +58,7 @@
             let others = node.peers.lock().all();
             node.cold.lock().set_boxes(me, others.into_iter().map(|ip| ip.to_bits()));
         }
-        sleep(BOXES_EVERY).await;
+        sleep(BOXES_INTERVAL).await;
     }
 }
 
--- a/trackfrontd/src/serving/crashes/mod.rs
+++ b/trackfrontd/src/serving/crashes/mod.rs
@@ -35,53 +35,54 @@
 use super::quota::box_id;
 
 /// How long after a connection broke the server is looked at: by then a process that ends listens no more.
-const LOOK_AFTER: Duration = Duration::from_millis(30);
+const PROBE_DELAY: Duration = Duration::from_millis(30);
 
 /// How long a connection may take to open there.
-const CONNECT_TIME: Duration = Duration::from_millis(250);
+const PROBE_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How many boxes count the crashes of one request. With each of them lost one after the other the count is lost.
-const KEEPERS: usize = 3;
+const COORDINATORS: usize = 3;
 
 /// What a box knows of requests that crash servers, and what it has yet to tell.
 #[derive(Default)]
 pub struct Crashes {
-    book: Mutex<CrashTracker>,
+    tracker: Mutex<CrashTracker>,
     outbox: Mutex<Outbox>,
     /// The servers that are looked at now.
-    looking: Mutex<HashSet<BackendId>>,
+    probing: Mutex<HashSet<BackendId>>,
     /// Told when there is something to tell.
-    to_tell: Notify,
+    outbox_changed: Notify,
     /// Told when something is held off.
-    to_keep: Notify,
+    quarantine_changed: Notify,
     /// Requests that were let go here, whose rows are to be removed.
-    rows_over: Mutex<Vec<Fingerprint>>,
+    rows_to_remove: Mutex<Vec<Fingerprint>>,
     /// Whether this box knows what was held off before it started.
     is_loaded: AtomicBool,
 }
 
 impl Crashes {
     /// Returns how many servers a request crashed, if it is held off.
-    pub fn held_off(&self, fingerprint: Fingerprint) -> Option<usize> {
-        let book = self.book.lock();
-        book.is_quarantined(fingerprint)
-            .then(|| book.report(fingerprint).map_or(0, CrashReport::crashes))
+    pub fn quarantined(&self, fingerprint: Fingerprint) -> Option<usize> {
+        let tracker = self.tracker.lock();
+        tracker
+            .is_quarantined(fingerprint)
+            .then(|| tracker.report(fingerprint).map_or(0, CrashReport::crashes))
     }
 
     /// Returns whether a request may well be one that crashes servers.
     pub fn is_suspect(&self, fingerprint: Fingerprint, now: Moment) -> bool {
-        self.book.lock().is_suspect(fingerprint, now)
+        self.tracker.lock().is_suspect(fingerprint, now)
     }
 
     /// Returns what is held off, and since when.
-    pub fn all_held_off(&self) -> Vec<(CrashReport, Moment)> {
-        let book = self.book.lock();
-        book.quarantined().map(|(report, since)| (report.clone(), since)).collect()
+    pub fn all_quarantined(&self) -> Vec<(CrashReport, Moment)> {
+        let tracker = self.tracker.lock();
+        tracker.quarantined().map(|(report, since)| (report.clone(), since)).collect()
     }
 
     /// Notes that a run of a server answered.
-    pub fn lives(&self, server: &BackendId, now: Moment) {
-        self.book.lock().mark_alive(run_id(server), now);
+    pub fn record_alive(&self, server: &BackendId, now: Moment) {
+        self.tracker.lock().mark_alive(incarnation_id(server), now);
     }
 
     fn is_loaded(&self) -> bool {
@@ -89,15 +90,15 @@
     }
 }
 
-fn run_id(server: &BackendId) -> IncarnationId {
+fn incarnation_id(server: &BackendId) -> IncarnationId {
     IncarnationId(short_server(server))
 }
 
 /// Returns whether a request may be sent, though it is held off, to see whether it really is what crashes servers.
 pub fn take_trial(node: &ServingNode, fingerprint: Fingerprint) -> bool {
     let me = node.settings.load().node.ip;
-    let is_first = keepers_of(node, fingerprint).first() == Some(&me);
-    let tries = is_first && node.crashes.book.lock().start_trial(fingerprint, node.now());
+    let is_first = coordinators_of(node, fingerprint).first() == Some(&me);
+    let tries = is_first && node.crashes.tracker.lock().start_trial(fingerprint, node.now());
     if tries {
         log::info!(fingerprint:%; "held off request tried once more");
     }
@@ -105,12 +106,12 @@
 }
 
 /// Returns the boxes that count the crashes of a request, this one perhaps among them.
-fn keepers_of(node: &ServingNode, fingerprint: Fingerprint) -> Vec<Ipv4Addr> {
+fn coordinators_of(node: &ServingNode, fingerprint: Fingerprint) -> Vec<Ipv4Addr> {
     let me = node.settings.load().node.ip;
     let others = node.peers.lock().reachable(node.now());
     let all = others.into_iter().chain([me]).map(box_id);
     let ranked = keepers(fingerprint.0 as u32 as usize, all);
-    ranked.into_iter().take(KEEPERS).map(|BoxId(bits)| Ipv4Addr::from_bits(bits)).collect()
+    ranked.into_iter().take(COORDINATORS).map(|BoxId(bits)| Ipv4Addr::from_bits(bits)).collect()
 }
 
 /// Notes that the connection broke under a request that a server worked on, and has the server looked at.
@@ -127,45 +128,48 @@
         return;
     }
     let now = node.now();
-    let run = run_id(id);
+    let incarnation = incarnation_id(id);
     let (learned, has_ended) = {
-        let mut book = node.crashes.book.lock();
-        (book.connection_broke(fingerprint, run, now), book.has_ended(run, now))
+        let mut tracker = node.crashes.tracker.lock();
+        (
+            tracker.connection_broke(fingerprint, incarnation, now),
+            tracker.has_ended(incarnation, now),
+        )
     };
-    note(node, fingerprint, learned, request.as_str());
-    if !has_ended && node.crashes.looking.lock().insert(id.clone()) {
-        tokio::spawn(look(node.clone(), server.clone()));
+    record(node, fingerprint, learned, request.as_str());
+    if !has_ended && node.crashes.probing.lock().insert(id.clone()) {
+        tokio::spawn(probe(node.clone(), server.clone()));
     }
 }
 
 /// Looks whether a server still listens. A connection that opens is kept for the next request.
-async fn look(node: Arc<ServingNode>, server: Arc<KnownServer>) {
-    sleep(LOOK_AFTER).await;
+async fn probe(node: Arc<ServingNode>, server: Arc<KnownServer>) {
+    sleep(PROBE_DELAY).await;
     let (id, address) = (&server.entry.id, &server.entry.address);
     if let Err(UpstreamError::ConnectionRefused(_)) =
-        node.pool.open_spare(address, CONNECT_TIME).await
+        node.pool.open_spare(address, PROBE_CONNECT_TIMEOUT).await
     {
         connection_refused(&node, id);
     }
-    node.crashes.looking.lock().remove(id);
+    node.crashes.probing.lock().remove(id);
 }
 
 /// Notes that nobody listens at a server's address, and has the other boxes told. With four of eight servers down 50 of 50
 /// requests at six boxes are answered, where each box found out by itself 26 (`platform/tests/crashes.rs`).
 pub fn connection_refused(node: &ServingNode, server: &BackendId) {
     let now = node.now();
-    let is_news = node.crashes.outbox.lock().add_ended(server, now);
+    let is_new = node.crashes.outbox.lock().add_ended(server, now);
     server_ended(node, server, "it refuses connections");
-    if is_news {
-        node.crashes.to_tell.notify_one();
+    if is_new {
+        node.crashes.outbox_changed.notify_one();
     }
 }
 
 /// Notes that a server's row went, or that a later run of it wrote another.
 pub fn server_left(node: &ServingNode, server: &BackendId) {
-    let learned = node.crashes.book.lock().mark_ended(run_id(server), node.now());
+    let learned = node.crashes.tracker.lock().mark_ended(incarnation_id(server), node.now());
     for (fingerprint, what) in learned {
-        note(node, fingerprint, what, server.as_str());
+        record(node, fingerprint, what, server.as_str());
     }
 }
 
@@ -173,29 +177,29 @@
 pub fn server_ended(node: &ServingNode, server: &BackendId, evidence: &'static str) {
     let now = node.now();
     node.loads.lock().mark_ended(server, now);
-    let run = run_id(server);
+    let incarnation = incarnation_id(server);
     let (was_known, learned) = {
-        let mut book = node.crashes.book.lock();
-        (book.has_ended(run, now), book.mark_ended(run, now))
+        let mut tracker = node.crashes.tracker.lock();
+        (tracker.has_ended(incarnation, now), tracker.mark_ended(incarnation, now))
     };
     if !was_known {
         log::info!(server:%, evidence, struck = learned.len(); "server ended");
     }
     for (fingerprint, what) in learned {
-        note(node, fingerprint, what, server.as_str());
+        record(node, fingerprint, what, server.as_str());
     }
 }
 
 /// Notes that a request was answered whole.
 pub fn request_completed(node: &ServingNode, fingerprint: Fingerprint) {
-    let learned = node.crashes.book.lock().mark_answered(fingerprint, node.now());
-    note(node, fingerprint, learned, "it was answered whole");
+    let learned = node.crashes.tracker.lock().mark_answered(fingerprint, node.now());
+    record(node, fingerprint, learned, "it was answered whole");
 }
 
 /// Lets a request that is held off go again, at all boxes. Returns whether it was held off.
 pub fn release(node: &ServingNode, fingerprint: Fingerprint) -> bool {
-    let learned = node.crashes.book.lock().clear_suspicion(fingerprint, node.now());
-    note(node, fingerprint, learned, "an operator let it go");
+    let learned = node.crashes.tracker.lock().clear_suspicion(fingerprint, node.now());
+    record(node, fingerprint, learned, "an operator let it go");
     learned == SuspicionChange::Released
 }
 
@@ -204,20 +208,20 @@
     for report in reports {
         let fingerprint = report.fingerprint;
         let (learned, is_quarantined, knows_cleared) = {
-            let mut book = node.crashes.book.lock();
-            let learned = book.apply_report(report, node.now());
-            (learned, book.is_quarantined(fingerprint), book.knows_cleared(report))
+            let mut tracker = node.crashes.tracker.lock();
+            let learned = tracker.apply_report(report, node.now());
+            (learned, tracker.is_quarantined(fingerprint), tracker.knows_cleared(report))
         };
         log_learned(node, fingerprint, learned, &from.to_string());
         if knows_cleared {
             // Many boxes may know that; the first that says so speaks for all.
-            node.crashes.outbox.lock().add_excuse(fingerprint, node.now());
-            node.crashes.to_tell.notify_one();
+            node.crashes.outbox.lock().add_clearance(fingerprint, node.now());
+            node.crashes.outbox_changed.notify_one();
         } else if is_quarantined
-            && (!report.is_quarantined() || has_to_pass_on(node, learned, fingerprint))
+            && (!report.is_quarantined() || must_forward(node, learned, fingerprint))
         {
             // The box that told knows less, or may end before all have heard of it.
-            tell_all(node, fingerprint);
+            broadcast_report(node, fingerprint);
         } else {
             node.crashes.outbox.lock().record_received(fingerprint);
         }
@@ -225,9 +229,9 @@
 }
 
 /// Returns whether this box tells all others as well of what another has held off: those that count its crashes do.
-fn has_to_pass_on(node: &ServingNode, learned: SuspicionChange, fingerprint: Fingerprint) -> bool {
+fn must_forward(node: &ServingNode, learned: SuspicionChange, fingerprint: Fingerprint) -> bool {
     let me = node.settings.load().node.ip;
-    learned == SuspicionChange::Quarantined && keepers_of(node, fingerprint).contains(&me)
+    learned == SuspicionChange::Quarantined && coordinators_of(node, fingerprint).contains(&me)
 }
 
 /// Takes in which servers another box found to have ended.
@@ -243,32 +247,32 @@
 }
 
 /// Logs what was learned of a request and has the boxes told that need to know.
-fn note(node: &ServingNode, fingerprint: Fingerprint, learned: SuspicionChange, by: &str) {
+fn record(node: &ServingNode, fingerprint: Fingerprint, learned: SuspicionChange, by: &str) {
     if learned == SuspicionChange::Unchanged {
         return;
     }
     log_learned(node, fingerprint, learned, by);
     match learned {
-        SuspicionChange::Quarantined => tell_all(node, fingerprint),
+        SuspicionChange::Quarantined => broadcast_report(node, fingerprint),
         SuspicionChange::Released => {
-            node.crashes.rows_over.lock().push(fingerprint);
-            tell_all(node, fingerprint);
+            node.crashes.rows_to_remove.lock().push(fingerprint);
+            broadcast_report(node, fingerprint);
         }
         _ => {
             node.crashes.outbox.lock().add_report(fingerprint, false, node.now());
-            node.crashes.to_tell.notify_one();
+            node.crashes.outbox_changed.notify_one();
         }
     }
 }
 
-fn tell_all(node: &ServingNode, fingerprint: Fingerprint) {
+fn broadcast_report(node: &ServingNode, fingerprint: Fingerprint) {
     node.crashes.outbox.lock().add_report(fingerprint, true, node.now());
-    node.crashes.to_tell.notify_one();
-    node.crashes.to_keep.notify_one();
+    node.crashes.outbox_changed.notify_one();
+    node.crashes.quarantine_changed.notify_one();
 }
 
 fn log_learned(node: &ServingNode, fingerprint: Fingerprint, learned: SuspicionChange, by: &str) {
-    let report = node.crashes.book.lock().report(fingerprint).cloned();
+    let report = node.crashes.tracker.lock().report(fingerprint).cloned();
     let crashes = report.as_ref().map_or(0, CrashReport::crashes);
     let kind = match learned {
         SuspicionChange::Unchanged => return,
--- a/trackfrontd/src/serving/crashes/operators.rs
+++ b/trackfrontd/src/serving/crashes/operators.rs
@@ -32,7 +32,7 @@
     let now = node.now();
     let mut all: Vec<HeldOff> = node
         .crashes
-        .all_held_off()
+        .all_quarantined()
         .into_iter()
         .map(|(report, since)| HeldOff {
             fingerprint: report.fingerprint.to_string(),
--- a/trackfrontd/src/serving/crashes/rows.rs
+++ b/trackfrontd/src/serving/crashes/rows.rs
@@ -16,7 +16,7 @@
 use trackfront_core::serving::crashes::CrashReport;
 use trackfront_core::serving::fingerprint::Fingerprint;
 
-use super::keepers_of;
+use super::coordinators_of;
 use crate::serving::node::ServingNode;
 use crate::serving::{boxes, exchange, feed_relay};
 
@@ -25,22 +25,22 @@
 
 /// How long a box that starts waits between two questions for what is held off, and how many rounds it leaves to the
 /// one that reads for its hall: read by every box, a start of all would cost as many calls as there are boxes.
-const ASK_EVERY: Duration = Duration::from_millis(300);
-const ROUNDS_FOR_READER: usize = 4;
+const ASK_INTERVAL: Duration = Duration::from_millis(300);
+const FEED_READER_ROUNDS: usize = 4;
 
 /// How often is looked whether something is to be written or is over.
-const LOOK_EVERY: Duration = Duration::from_millis(1_000);
+const CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// How much longer each further one of the boxes that count a request's crashes waits before it writes the row.
-const WRITER_STEP: Duration = Duration::from_millis(2_000);
+const WRITER_DELAY: Duration = Duration::from_millis(2_000);
 
 /// Learns what is held off, then keeps the rows of what this box counts.
 pub async fn maintain_rows(node: Arc<ServingNode>) {
     load(&node).await;
     loop {
-        let _ = timeout(LOOK_EVERY, node.crashes.to_keep.notified()).await;
+        let _ = timeout(CHECK_INTERVAL, node.crashes.quarantine_changed.notified()).await;
         write_rows(&node).await;
-        forget_old(&node).await;
+        forget_expired(&node).await;
     }
 }
 
@@ -49,21 +49,21 @@
     boxes::wait_for_list(node).await;
     // A box that knows no other yet would take itself for the reader: of 90 boxes that start, 90 would read.
     while node.is_alone_for_now() {
-        sleep(ASK_EVERY).await;
+        sleep(ASK_INTERVAL).await;
     }
     for round in 0.. {
         let others = boxes::likely_up(node);
         if let Some(reports) = exchange::fetch_crashes(node, &others).await {
             return apply_loaded(node, reports, "another box");
         }
-        let reads = feed_relay::hall_peers(node).is_reader() || round >= ROUNDS_FOR_READER;
+        let reads = feed_relay::hall_peers(node).is_reader() || round >= FEED_READER_ROUNDS;
         if reads {
             match read_rows(node).await {
                 Ok(reports) => return apply_loaded(node, reports, "the platform's table"),
                 Err(error) => log::info!(error:% = error; "crashes not read"),
             }
         }
-        sleep(ASK_EVERY).await;
+        sleep(ASK_INTERVAL).await;
     }
 }
 
@@ -71,10 +71,10 @@
     let now = node.now();
     let count = reports.len();
     {
-        let mut book = node.crashes.book.lock();
+        let mut tracker = node.crashes.tracker.lock();
         // What was tried before this box started is not known to it, so it tries nothing.
         for report in reports {
-            book.apply_report(&CrashReport { together: false, ..report }, now);
+            tracker.apply_report(&CrashReport { together: false, ..report }, now);
         }
     }
     node.crashes.is_loaded.store(true, Ordering::Relaxed);
@@ -83,7 +83,8 @@
 
 /// Returns what is held off, for a box that starts; `None` if this box does not know itself.
 pub fn snapshot(node: &ServingNode) -> Option<Vec<CrashReport>> {
-    let held_off = || node.crashes.all_held_off().into_iter().map(|(report, _)| report).collect();
+    let held_off =
+        || node.crashes.all_quarantined().into_iter().map(|(report, _)| report).collect();
     node.crashes.is_loaded().then(held_off)
 }
 
@@ -105,34 +106,34 @@
 async fn write_rows(node: &ServingNode) {
     let me = node.settings.load().node.ip;
     let now = node.now();
-    for (report, since) in node.crashes.all_held_off() {
+    for (report, since) in node.crashes.all_quarantined() {
         let fingerprint = report.fingerprint;
-        let place = keepers_of(node, fingerprint).iter().position(|ip| *ip == me);
-        let is_due = place.is_some_and(|place| now.since(since) >= WRITER_STEP * place as u32);
+        let index = coordinators_of(node, fingerprint).iter().position(|ip| *ip == me);
+        let is_due = index.is_some_and(|index| now.since(since) >= WRITER_DELAY * index as u32);
         if report.stored || !is_due {
             continue;
         }
         let value = serde_json::to_vec(&report).expect("our own types always encode");
         if commit(node, fingerprint, Expect::Absent, Some(value.into())).await {
             log::info!(fingerprint:%; "held off request written down");
-            node.crashes.book.lock().set_stored(fingerprint);
+            node.crashes.tracker.lock().set_stored(fingerprint);
             node.crashes.outbox.lock().add_report(fingerprint, true, node.now());
         }
     }
 }
 
 /// Forgets what is held off no longer, and removes its row.
-async fn forget_old(node: &ServingNode) {
+async fn forget_expired(node: &ServingNode) {
     let me = node.settings.load().node.ip;
-    let over = node.crashes.book.lock().forget_old(node.now());
+    let over = node.crashes.tracker.lock().forget_old(node.now());
     for report in over {
         let fingerprint = report.fingerprint;
         log::info!(fingerprint:%; "request held off no longer");
-        if report.stored && keepers_of(node, fingerprint).first() == Some(&me) {
+        if report.stored && coordinators_of(node, fingerprint).first() == Some(&me) {
             remove_row(node, fingerprint).await;
         }
     }
-    let let_go = std::mem::take(&mut *node.crashes.rows_over.lock());
+    let let_go = std::mem::take(&mut *node.crashes.rows_to_remove.lock());
     for fingerprint in let_go {
         remove_row(node, fingerprint).await;
     }
--- a/trackfrontd/src/serving/lease.rs
+++ b/trackfrontd/src/serving/lease.rs
@@ -25,50 +25,50 @@
 use super::node::ServingNode;
 
 /// The row of the lease.
-const LEASE_KEY: &str = "lease/orders";
+const LEASE_ROW_KEY: &str = "lease/orders";
 
 /// How long the lease lasts after each renewal. Short, since it bounds how long engines get no
 /// orders after the holder's death; long against a slow answer of the platform.
 const LEASE_TTL: Duration = Duration::from_millis(1_250);
 
 /// How much of the lease has to be left so that it is not renewed before orders.
-const ENOUGH_LEFT: Duration = Duration::from_millis(600);
+const RENEW_BELOW: Duration = Duration::from_millis(600);
 
 /// What the quiet time has beyond what is promised: the way of an order to an engine.
-const QUIET_MARGIN: Duration = Duration::from_millis(400);
+const ORDER_TRAVEL_TIME: Duration = Duration::from_millis(400);
 
 /// How often the row is looked at while nobody gives orders.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const READ_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long the holder tries to renew before it lets others take over. Its right has ended by then.
-const RENEW_FOR: Duration = Duration::from_millis(1_000);
+const RENEW_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// How long a node waits for each node before it in the order of what they can bear.
-const RANK_STEP: Duration = Duration::from_millis(300);
+const RANK_DELAY: Duration = Duration::from_millis(300);
 
 /// How many times a write whose answer was lost is sent.
 const COMMIT_ATTEMPTS: u32 = 2;
 
 /// Until when orders may be given, and under which token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Right {
+struct ValidFence {
     fence: Fence,
     until: Moment,
 }
 
 /// The right to give orders as the tasks that give them see it.
 #[derive(Debug, Default)]
-pub struct OrderFence(Mutex<Option<Right>>);
+pub struct OrderFence(Mutex<Option<ValidFence>>);
 
 impl OrderFence {
     /// Returns the fencing token if orders may be given at `now`. To be asked last thing before
     /// each send.
     pub fn usable(&self, now: Moment) -> Option<Fence> {
-        self.0.lock().filter(|right| now < right.until).map(|right| right.fence)
+        self.0.lock().filter(|valid| now < valid.until).map(|valid| valid.fence)
     }
 
-    fn set(&self, right: Option<Right>) {
-        *self.0.lock() = right;
+    fn set(&self, fence: Option<ValidFence>) {
+        *self.0.lock() = fence;
     }
 }
 
@@ -79,10 +79,10 @@
     key: RowKey,
     machine: StateMachine<LeaseHolder>,
     seen: Option<ObservedLease>,
-    looked_at: Option<Moment>,
+    last_read_at: Option<Moment>,
     vacant_since: Option<Moment>,
     failing_since: Option<Moment>,
-    right: Arc<OrderFence>,
+    order_fence: Arc<OrderFence>,
     giving: Arc<HoldsOrderLease>,
 }
 
@@ -90,7 +90,7 @@
     /// Makes a lease that is not held.
     pub fn new(
         node: Arc<ServingNode>,
-        right: Arc<OrderFence>,
+        order_fence: Arc<OrderFence>,
         giving: Arc<HoldsOrderLease>,
     ) -> Self {
         // One name for each machine: a process that comes back on it is the same holder.
@@ -98,13 +98,13 @@
         Self {
             node,
             me,
-            key: RowKey(LEASE_KEY.into()),
+            key: RowKey(LEASE_ROW_KEY.into()),
             machine: LeaseHolder::new(LEASE_TTL).state_machine(),
             seen: None,
-            looked_at: None,
+            last_read_at: None,
             vacant_since: None,
             failing_since: None,
-            right,
+            order_fence,
             giving,
         }
     }
@@ -126,35 +126,35 @@
             return false;
         }
         let vacant_since = *self.vacant_since.get_or_insert(now);
-        if now.since(vacant_since) < RANK_STEP.saturating_mul(self.rank(now)) {
+        if now.since(vacant_since) < RANK_DELAY.saturating_mul(self.rank(now)) {
             return false;
         }
-        if self.looked_at.is_some_and(|at| now.since(at) < LOOK_EVERY) {
+        if self.last_read_at.is_some_and(|at| now.since(at) < READ_INTERVAL) {
             return false;
         }
-        self.take().await
+        self.take_over().await
     }
 
     /// Makes sure that orders may be given for a while. Returns whether they may.
     pub async fn renew(&mut self) -> bool {
         let now = self.node.now();
-        if self.right.usable(now + ENOUGH_LEFT).is_some() {
+        if self.order_fence.usable(now + RENEW_BELOW).is_some() {
             return true;
         }
         if !self.is_holder() {
             return false;
         }
-        let renewed = match self.right.usable(now) {
+        let renewed = match self.order_fence.usable(now) {
             Some(fence) => self.write(self.own_row(fence)).await,
-            None => self.take().await,
+            None => self.take_over().await,
         };
         if renewed {
             self.failing_since = None;
             return true;
         }
         let failing_since = *self.failing_since.get_or_insert(now);
-        if self.is_holder() && self.node.now().since(failing_since) > RENEW_FOR {
-            self.lose("it could not be renewed");
+        if self.is_holder() && self.node.now().since(failing_since) > RENEW_TIMEOUT {
+            self.drop_lease("it could not be renewed");
         }
         false
     }
@@ -164,7 +164,7 @@
         if !self.is_holder() {
             return;
         }
-        self.lose("the node stops");
+        self.drop_lease("the node stops");
         let dropped_at = self.node.now();
         self.machine.handle(&LeaseEvent::Released);
         let Some(seen) = &self.seen else {
@@ -188,21 +188,21 @@
 
     fn terms(&self) -> LeaseTerms {
         let promised = self.node.settings.load().promises.order_quiet();
-        LeaseTerms { ttl: LEASE_TTL, quiet_period: promised + QUIET_MARGIN }
+        LeaseTerms { ttl: LEASE_TTL, quiet_period: promised + ORDER_TRAVEL_TIME }
     }
 
-    async fn take(&mut self) -> bool {
+    async fn take_over(&mut self) -> bool {
         self.machine.handle(&LeaseEvent::Tick(self.node.now()));
-        if let Err(error) = self.look().await {
+        if let Err(error) = self.read_row().await {
             log::info!(error:% = error; "order lease not read");
             return false;
         }
         let now = self.node.now();
-        let (seen, word) = (self.seen.as_ref(), self.holders_word());
+        let (seen, word) = (self.seen.as_ref(), self.holder_announcement());
         let Some(row) = takeover_on_announcement(seen, word, &self.me, self.terms(), now) else {
             let held_by_other = self.seen.as_ref().and_then(|seen| seen.row.holder.as_ref());
             if self.is_holder() && held_by_other.is_some_and(|holder| *holder != self.me) {
-                self.lose("another node has it");
+                self.drop_lease("another node has it");
             }
             return false;
         };
@@ -220,13 +220,13 @@
     }
 
     /// Returns what the node that wrote the row as it was seen last told in its digests.
-    fn holders_word(&self) -> Option<LeaseAnnouncement> {
+    fn holder_announcement(&self) -> Option<LeaseAnnouncement> {
         let version = self.seen.as_ref()?.version;
         self.node.peers.lock().holders_word(version)
     }
 
-    async fn look(&mut self) -> Result<(), TableError> {
-        self.looked_at = Some(self.node.now());
+    async fn read_row(&mut self) -> Result<(), TableError> {
+        self.last_read_at = Some(self.node.now());
         self.count("read_lease");
         let row = self.node.ports.table.read(&self.key).await?;
         let now = self.node.now();
@@ -249,7 +249,7 @@
             CommitOutcome::Applied => {}
             CommitOutcome::Conflict { .. } => {
                 self.seen = None;
-                self.lose("another node has it");
+                self.drop_lease("another node has it");
                 return false;
             }
             CommitOutcome::NotApplied(error) | CommitOutcome::Unknown(error) => {
@@ -264,7 +264,7 @@
         self.seen = Some(ObservedLease { version, row, since: sent_at });
         self.machine.handle(&LeaseEvent::Written { fence, sent_at });
         let until = sent_at + (LEASE_TTL - LEASE_TTL / 5);
-        self.right.set(Some(Right { fence, until }));
+        self.order_fence.set(Some(ValidFence { fence, until }));
         self.giving.say(LeaseAnnouncement { version, ends_at: until });
         true
     }
@@ -280,8 +280,8 @@
         commit_settled(self.node.ports.table.as_ref(), &transaction, COMMIT_ATTEMPTS).await
     }
 
-    fn lose(&mut self, cause: &str) {
-        self.right.set(None);
+    fn drop_lease(&mut self, cause: &str) {
+        self.order_fence.set(None);
         self.failing_since = None;
         self.vacant_since = None;
         if self.is_holder() {
--- a/trackfrontd/src/serving/listeners.rs
+++ b/trackfrontd/src/serving/listeners.rs
@@ -20,7 +20,7 @@
 const BACKLOG: u32 = 1_024;
 
 /// The part of the descriptors that clients' connections may take; each may need one to a server.
-const CLIENT_PART: usize = 5;
+const CLIENT_DESCRIPTOR_DIVISOR: usize = 5;
 
 /// Binds a listener to an address that a process before may just have left.
 pub fn bind(address: SocketAddr) -> anyhow::Result<TcpListener> {
@@ -46,7 +46,7 @@
 /// Returns what the configuration in force allows clients.
 fn client_limits(node: &ServingNode) -> ServerLimits {
     let descriptors = node.settings.load().resources.file_descriptors;
-    let connections = (descriptors / CLIENT_PART * 2).max(16);
+    let connections = (descriptors / CLIENT_DESCRIPTOR_DIVISOR * 2).max(16);
     let base = ServerLimits { connections, ..ServerLimits::default() };
     match node.config.load().as_ref().map(|config| config.limits) {
         None => base,
--- a/trackfrontd/src/serving/missing_items.rs
+++ b/trackfrontd/src/serving/missing_items.rs
@@ -22,24 +22,24 @@
 use super::peer_socket::PeerSocket;
 
 /// How long a box that lacks something is told of it, in case its question came before the order.
-const ASKED_FOR: Duration = Duration::from_secs(5);
+const ASKER_TTL: Duration = Duration::from_secs(5);
 
 /// How long an adapter that was asked for takes to be there before any was measured: an order, the load
 /// and word of both.
-const FIRST_ADAPTER_WAIT: Duration = Duration::from_millis(150);
+const INITIAL_ADAPTER_WAIT: Duration = Duration::from_millis(150);
 
 /// The weight of one measurement in the mean of such times.
 const MEAN_WEIGHT: f64 = 0.1;
 
 /// How many times the mean an adapter is waited for.
-const PATIENCE: f64 = 2.0;
+const ADAPTER_WAIT_FACTOR: f64 = 2.0;
 
 /// Word of an item that should be at an engine so many milliseconds from now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PendingItem {
     server: u32,
     item: u32,
-    ms: u32,
+    eta_ms: u32,
 }
 
 /// What is lacking here, and who else lacks something.
@@ -50,7 +50,7 @@
     /// The boxes that asked for items that were not on their way.
     askers: Mutex<HashMap<ModelRef, HashMap<Ipv4Addr, Moment>>>,
     /// Told when something that was asked for is on its way.
-    on_its_way: Notify,
+    item_ordered: Notify,
     /// What has come on its way since askers were told.
     ordered: Mutex<BTreeSet<ModelRef>>,
     adapter_wait_ms: Mutex<f64>,
@@ -61,9 +61,9 @@
         Self {
             own: Mutex::default(),
             askers: Mutex::default(),
-            on_its_way: Notify::new(),
+            item_ordered: Notify::new(),
             ordered: Mutex::default(),
-            adapter_wait_ms: Mutex::new(FIRST_ADAPTER_WAIT.as_secs_f64() * 1_000.0),
+            adapter_wait_ms: Mutex::new(INITIAL_ADAPTER_WAIT.as_secs_f64() * 1_000.0),
         }
     }
 }
@@ -81,7 +81,7 @@
 
     /// Returns how long an adapter is waited for that this box has just asked for.
     pub fn adapter_wait(&self) -> Duration {
-        Duration::from_secs_f64(*self.adapter_wait_ms.lock() * PATIENCE / 1_000.0)
+        Duration::from_secs_f64(*self.adapter_wait_ms.lock() * ADAPTER_WAIT_FACTOR / 1_000.0)
     }
 
     /// Notes how long one took, or for how long it was waited for in vain.
@@ -92,29 +92,29 @@
 }
 
 /// Notes, at the box that gave the order, that an item should be at an engine at a moment.
-pub fn expect(node: &ServingNode, server: &BackendId, item: &ModelRef, at: Moment) {
+pub fn expect_item(node: &ServingNode, server: &BackendId, item: &ModelRef, at: Moment) {
     let kind = EntryKind::Pending(at);
     node.overlay.lock().record(server, item, kind, node.now());
     node.missing_items.ordered.lock().insert(item.clone());
-    node.missing_items.on_its_way.notify_one();
+    node.missing_items.item_ordered.notify_one();
 }
 
 /// Tells boxes that asked for what has come on its way, for as long as the box lives.
 pub async fn notify_askers(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     loop {
-        node.missing_items.on_its_way.notified().await;
+        node.missing_items.item_ordered.notified().await;
         let now = node.now();
         let ordered = std::mem::take(&mut *node.missing_items.ordered.lock());
-        let mut words: HashMap<Ipv4Addr, Vec<PendingItem>> = HashMap::new();
+        let mut reports: HashMap<Ipv4Addr, Vec<PendingItem>> = HashMap::new();
         for item in ordered {
             let askers = node.missing_items.askers.lock().remove(&item).unwrap_or_default();
-            let recent = askers.into_iter().filter(|(_, at)| now.since(*at) < ASKED_FOR);
+            let recent = askers.into_iter().filter(|(_, at)| now.since(*at) < ASKER_TTL);
             for (ip, _) in recent {
-                words.entry(ip).or_default().extend(word(&node, &item, now));
+                reports.entry(ip).or_default().extend(pending_report(&node, &item, now));
             }
         }
-        for (ip, word) in words {
-            socket.send(&Message::PendingItems(word), &[ip]).await;
+        for (ip, report) in reports {
+            socket.send(&Message::PendingItems(report), &[ip]).await;
         }
     }
 }
@@ -124,38 +124,38 @@
     let now = node.now();
     let mut known = Vec::new();
     for item in items {
-        let word = word(node, item, now);
-        if word.is_empty() {
+        let report = pending_report(node, item, now);
+        if report.is_empty() {
             let mut askers = node.missing_items.askers.lock();
             let boxes = askers.entry(item.clone()).or_default();
-            boxes.retain(|_, at| now.since(*at) < ASKED_FOR);
+            boxes.retain(|_, at| now.since(*at) < ASKER_TTL);
             boxes.insert(ip, now);
         }
-        known.extend(word);
+        known.extend(report);
     }
     if !known.is_empty() {
         socket.send_now(&Message::PendingItems(known), ip);
     }
 }
 
-fn word(node: &ServingNode, item: &ModelRef, now: Moment) -> Vec<PendingItem> {
+fn pending_report(node: &ServingNode, item: &ModelRef, now: Moment) -> Vec<PendingItem> {
     let overlay = node.overlay.lock();
-    let coming = overlay.pending(item).map(|(server, at)| PendingItem {
+    let pending = overlay.pending(item).map(|(server, at)| PendingItem {
         server: short_server(server),
         item: short_item(item),
-        ms: u32::try_from(at.since(now).as_millis()).unwrap_or(u32::MAX),
+        eta_ms: u32::try_from(at.since(now).as_millis()).unwrap_or(u32::MAX),
     });
-    coming.collect()
+    pending.collect()
 }
 
 /// Takes in what the holder of the lease said is on its way.
-pub fn apply_report(node: &ServingNode, coming: &[PendingItem]) {
+pub fn apply_report(node: &ServingNode, pending: &[PendingItem]) {
     let now = node.now();
     let names = node.names.lock();
     let mut overlay = node.overlay.lock();
-    for word in coming {
-        if let (Some(server), Some(item)) = (names.server(word.server), names.item(word.item)) {
-            let at = now + Duration::from_millis(u64::from(word.ms));
+    for report in pending {
+        if let (Some(server), Some(item)) = (names.server(report.server), names.item(report.item)) {
+            let at = now + Duration::from_millis(u64::from(report.eta_ms));
             overlay.record(server, item, EntryKind::Pending(at), now);
         }
     }
--- a/trackfrontd/src/serving/notices/broadcast.rs
+++ b/trackfrontd/src/serving/notices/broadcast.rs
@@ -13,39 +13,39 @@
 use trackfront_core::serving::notices::{KnownLimit, NoticeTracker};
 use trackfront_core::units::Moment;
 
-use super::{note, note_cold};
+use super::{record, record_cold};
 use crate::serving::messages::{Message, NoticeBatch, NoticeKind, NoticeRecord};
 use crate::serving::node::{ServingNode, short_server};
 use crate::serving::peer_socket::PeerSocket;
 use crate::serving::{boxes, exchange};
 
 /// How many times other boxes are told what is new of a server, and how long after another: some datagrams are lost.
-const TIMES: u32 = 4;
-const AGAIN_AFTER: Duration = Duration::from_millis(400);
+const SEND_ATTEMPTS: u32 = 4;
+const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
 /// The least time between two words on one server, which may change its mind with each answer.
 const MIN_DIGEST_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long words are gathered before they are told.
-const GATHER: Duration = Duration::from_millis(15);
+const BATCH_DELAY: Duration = Duration::from_millis(15);
 
 /// How many words one message has.
-const TOLD_AT_ONCE: usize = 128;
+const NOTICES_PER_MESSAGE: usize = 128;
 
 /// How often a box that starts asks for what the others know, and after which pause.
-const ROUNDS: usize = 3;
-const ASK_AGAIN: Duration = Duration::from_millis(300);
+const FETCH_ROUNDS: usize = 3;
+const FETCH_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Servers on which there is something new to tell.
 #[derive(Default)]
 pub struct NoticeOutbox {
-    waiting: Mutex<HashMap<BackendId, Telling>>,
+    waiting: Mutex<HashMap<BackendId, PendingSend>>,
     wake: Notify,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Telling {
-    left: u32,
+struct PendingSend {
+    sends_left: u32,
     due: Moment,
     told: Option<Moment>,
 }
@@ -53,23 +53,23 @@
 impl NoticeOutbox {
     pub(super) fn add(&self, server: &BackendId, now: Moment) {
         let mut waiting = self.waiting.lock();
-        let told = waiting.get(server).and_then(|telling| telling.told);
+        let told = waiting.get(server).and_then(|pending_send| pending_send.told);
         let due = told.map_or(now, |told| (told + MIN_DIGEST_INTERVAL).max(now));
-        waiting.insert(server.clone(), Telling { left: TIMES, due, told });
+        waiting.insert(server.clone(), PendingSend { sends_left: SEND_ATTEMPTS, due, told });
         drop(waiting);
         self.wake.notify_one();
     }
 
     fn take_due(&self, now: Moment) -> Vec<BackendId> {
         let mut due = Vec::new();
-        self.waiting.lock().retain(|server, telling| {
-            if telling.due <= now {
+        self.waiting.lock().retain(|server, pending_send| {
+            if pending_send.due <= now {
                 due.push(server.clone());
-                telling.left -= 1;
-                telling.told = Some(now);
-                telling.due = now + AGAIN_AFTER;
+                pending_send.sends_left -= 1;
+                pending_send.told = Some(now);
+                pending_send.due = now + RESEND_INTERVAL;
             }
-            telling.left > 0
+            pending_send.sends_left > 0
         });
         due
     }
@@ -90,7 +90,7 @@
         let at = Moment(now.0.saturating_sub(age));
         let learned = match notice.said {
             NoticeKind::Cold(ms) => {
-                note_cold(node, &server, Duration::from_millis(u64::from(ms)), by);
+                record_cold(node, &server, Duration::from_millis(u64::from(ms)), by);
                 None
             }
             NoticeKind::Leaves => node.notices.lock().mark_leaving(&server, at),
@@ -98,7 +98,7 @@
             NoticeKind::Limit(per_s) => node.notices.lock().apply_limit(&server, Some(per_s), at),
             NoticeKind::LimitOver => node.notices.lock().apply_limit(&server, None, at),
         };
-        learned.into_iter().for_each(|learned| note(node, &server, learned, by));
+        learned.into_iter().for_each(|learned| record(node, &server, learned, by));
     }
 }
 
@@ -109,20 +109,20 @@
         if node.notice_outbox.is_empty() {
             woken.await;
         } else {
-            let _ = timeout(AGAIN_AFTER / 4, woken).await;
+            let _ = timeout(RESEND_INTERVAL / 4, woken).await;
         }
-        sleep(GATHER).await;
+        sleep(BATCH_DELAY).await;
         let now = node.now();
         let due = node.notice_outbox.take_due(now);
         if due.is_empty() {
             continue;
         }
         let told: Vec<NoticeRecord> = {
-            let (cold, book) = (node.cold.lock(), node.notices.lock());
-            due.iter().flat_map(|server| words_on(&book, &cold, server, now)).collect()
+            let (cold, tracker) = (node.cold.lock(), node.notices.lock());
+            due.iter().flat_map(|server| records_of(&tracker, &cold, server, now)).collect()
         };
         let all = node.peers.lock().to_tell_all(now);
-        for some in told.chunks(TOLD_AT_ONCE) {
+        for some in told.chunks(NOTICES_PER_MESSAGE) {
             send(&socket, some, false, &all.directly).await;
             send(&socket, some, true, &all.to_hand_on).await;
         }
@@ -149,19 +149,19 @@
 }
 
 /// Returns what other boxes are told of a server.
-fn words_on(
-    book: &NoticeTracker,
+fn records_of(
+    tracker: &NoticeTracker,
     cold: &ColdTracker,
     server: &BackendId,
     now: Moment,
 ) -> Vec<NoticeRecord> {
     let told =
         |said, at| NoticeRecord { server: short_server(server), said, age_ms: age_ms(at, now) };
-    let limit = book.known_limit(server).map(|KnownLimit { per_s, at, .. }| match per_s {
+    let limit = tracker.known_limit(server).map(|KnownLimit { per_s, at, .. }| match per_s {
         Some(per_s) => told(NoticeKind::Limit(per_s), at),
         None => told(NoticeKind::LimitOver, at),
     });
-    let leaves = book.leaving_since(server).map(|since| told(NoticeKind::Leaves, since));
+    let leaves = tracker.leaving_since(server).map(|since| told(NoticeKind::Leaves, since));
     let cold = cold.reported_until(server).map(|until| {
         let ms = u32::try_from(until.since(now).as_millis()).unwrap_or(u32::MAX);
         told(NoticeKind::Cold(ms), now)
@@ -178,18 +178,18 @@
     if !node.knows_servers() {
         return None;
     }
-    let (cold, book, now) = (node.cold.lock(), node.notices.lock(), node.now());
-    let limited = book.limits().map(|(server, _)| server);
+    let (cold, tracker, now) = (node.cold.lock(), node.notices.lock(), node.now());
+    let limited = tracker.limits().map(|(server, _)| server);
     let noticed: BTreeSet<&BackendId> =
-        limited.chain(book.leaving()).chain(cold.reported_cold(now)).collect();
-    let words = noticed.into_iter().flat_map(|server| words_on(&book, &cold, server, now));
-    Some(words.collect())
+        limited.chain(tracker.leaving()).chain(cold.reported_cold(now)).collect();
+    let records = noticed.into_iter().flat_map(|server| records_of(&tracker, &cold, server, now));
+    Some(records.collect())
 }
 
 /// Asks the others for what they know. Of what none of them knows the servers' next answers tell.
 pub async fn fetch_from_peers(node: Arc<ServingNode>) {
     boxes::wait_for_list(&node).await;
-    for _ in 0..ROUNDS {
+    for _ in 0..FETCH_ROUNDS {
         let others = boxes::likely_up(&node);
         // Servers that this box does not know yet have no names here.
         if node.knows_servers()
@@ -197,6 +197,6 @@
         {
             return apply_notices(&node, &told, "a copy of another box");
         }
-        sleep(ASK_AGAIN).await;
+        sleep(FETCH_RETRY_DELAY).await;
     }
 }
--- a/trackfrontd/src/serving/notices/mod.rs
+++ b/trackfrontd/src/serving/notices/mod.rs
@@ -24,7 +24,7 @@
 
 /// How much longer than a server asked for some boxes stay away, as a part of that time: all that it turned away together
 /// would come back together.
-const SPREAD: f64 = 0.1;
+const BACK_OFF_JITTER: f64 = 0.1;
 
 /// Takes in what the head of an answer from a server's address says, unless another run of the server wrote it. `by` is
 /// the request that it came to.
@@ -44,45 +44,46 @@
     }
     let (id, now) = (&server.entry.id, node.now());
     let mut notice = head.notice;
-    notice.back_off = notice.back_off.map(|wait| wait.mul_f64(1.0 + SPREAD * spread_of(node, id)));
+    notice.back_off =
+        notice.back_off.map(|wait| wait.mul_f64(1.0 + BACK_OFF_JITTER * jitter_of(node, id)));
     let learned = node.notices.lock().apply(id, &notice, source, now);
     for learned in learned {
-        note(node, id, learned, by);
-        if is_for_all(learned) {
+        record(node, id, learned, by);
+        if needs_broadcast(learned) {
             node.notice_outbox.add(id, now);
         }
     }
     if let Some(cold_for) = head.cold_for
-        && note_cold(node, id, cold_for, by)
+        && record_cold(node, id, cold_for, by)
     {
         node.notice_outbox.add(id, now);
     }
 }
 
 /// Takes in how much longer a server is cold. Returns whether that is news.
-fn note_cold(node: &ServingNode, server: &BackendId, cold_for: Duration, by: &str) -> bool {
-    let is_news = node.cold.lock().apply_report(server, cold_for, node.now());
-    if is_news {
+fn record_cold(node: &ServingNode, server: &BackendId, cold_for: Duration, by: &str) -> bool {
+    let is_new = node.cold.lock().apply_report(server, cold_for, node.now());
+    if is_new {
         log::info!(server:%, ms = cold_for.as_millis() as u64, by; "server cold");
         node.metrics.notices.get_or_create(&KindLabel { kind: COLD }).inc();
     }
-    is_news
+    is_new
 }
 
 /// Returns when in the time after a server's back-off this box comes back, from 0 to 1: another time than other boxes.
-fn spread_of(node: &ServingNode, server: &BackendId) -> f64 {
+fn jitter_of(node: &ServingNode, server: &BackendId) -> f64 {
     let me = node.settings.load().node.ip;
     let hash = blake3::hash(format!("{me} {server}").as_bytes());
     f64::from(hash.as_bytes()[0]) / f64::from(u8::MAX)
 }
 
 /// Returns whether other boxes have to know. For how long a server wants nothing it says to each box by itself.
-fn is_for_all(learned: NoticeChange) -> bool {
+fn needs_broadcast(learned: NoticeChange) -> bool {
     !matches!(learned, NoticeChange::BacksOff(_))
 }
 
 /// Logs and counts what was learned of a server.
-fn note(node: &ServingNode, server: &BackendId, learned: NoticeChange, by: &str) {
+fn record(node: &ServingNode, server: &BackendId, learned: NoticeChange, by: &str) {
     let kind = match learned {
         NoticeChange::Leaves => {
             log::info!(server:%, by; "server says that it leaves");
@@ -109,12 +110,12 @@
 /// Drops what is over, and counts what is in force.
 pub fn sweep(node: &ServingNode, now: Moment) {
     let directory = node.directory.lock();
-    let mut book = node.notices.lock();
-    book.forget_old(|server| directory.get(server).is_some(), now);
+    let mut tracker = node.notices.lock();
+    tracker.forget_old(|server| directory.get(server).is_some(), now);
     let counts = [
-        (LEAVES, book.leaving().count()),
-        (LIMITED, book.limits().count()),
-        (BACKS_OFF, book.backing_off_count(now)),
+        (LEAVES, tracker.leaving().count()),
+        (LIMITED, tracker.limits().count()),
+        (BACKS_OFF, tracker.backing_off_count(now)),
     ];
     for (kind, count) in counts {
         node.metrics.noticed_servers.get_or_create(&KindLabel { kind }).set(count as i64);
--- a/trackfrontd/src/serving/order_holder.rs
+++ b/trackfrontd/src/serving/order_holder.rs
@@ -15,13 +15,13 @@
 /// What was last heard of who gives orders. The later of two words holds, however they came.
 #[derive(Debug, Default)]
 pub struct KnownHolder {
-    last: Option<Word>,
+    last: Option<Report>,
     /// What it said of its right, by way of others.
     relayed_announcement: Option<LeaseAnnouncement>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct Report {
     ip: Ipv4Addr,
     gives: bool,
     /// When it said so, to this box or another.
@@ -34,7 +34,7 @@
     pub fn receive(&mut self, ip: Ipv4Addr, gives: bool, now: Moment) {
         let was_giver = self.last.is_some_and(|last| last.ip == ip);
         if gives || was_giver {
-            self.last = Some(Word { ip, gives, at: now, is_relayed: false });
+            self.last = Some(Report { ip, gives, at: now, is_relayed: false });
         }
     }
 
@@ -47,7 +47,7 @@
         let at = Moment(now.0.saturating_sub(Duration::from_millis(u64::from(told.age_ms))));
         let is_newer = self.last.is_none_or(|last| at > last.at);
         if told.ip != me && is_newer {
-            self.last = Some(Word { ip: told.ip, gives: told.gives, at, is_relayed: true });
+            self.last = Some(Report { ip: told.ip, gives: told.gives, at, is_relayed: true });
         }
     }
 
@@ -58,8 +58,8 @@
         now: Moment,
     ) -> Option<HolderReport> {
         let last = self.last.filter(|last| now.since(last.at) < RELAYED_ALIVE_FOR)?;
-        let rights = right(last.ip).into_iter().chain(self.relayed_announcement);
-        let right = rights.max_by_key(|right| right.version);
+        let announcements = right(last.ip).into_iter().chain(self.relayed_announcement);
+        let right = announcements.max_by_key(|right| right.version);
         let right = right.and_then(|right| LeaseReport::of(right, now));
         let age_ms = u32::try_from(now.since(last.at).as_millis()).unwrap_or(u32::MAX);
         Some(HolderReport { ip: last.ip, gives: last.gives, age_ms, right })
@@ -68,8 +68,8 @@
     /// Returns the box that gives orders, if it lives by all that was heard.
     pub fn live_holder(&self, now: Moment) -> Option<Ipv4Addr> {
         let last = self.last.filter(|last| last.gives)?;
-        let lives_for = if last.is_relayed { RELAYED_ALIVE_FOR } else { PEER_TIMEOUT };
-        (now.since(last.at) < lives_for).then_some(last.ip)
+        let timeout = if last.is_relayed { RELAYED_ALIVE_FOR } else { PEER_TIMEOUT };
+        (now.since(last.at) < timeout).then_some(last.ip)
     }
 
     /// Returns what was told of the right of who gives orders by way of others.
--- a/trackfrontd/src/serving/order_task.rs
+++ b/trackfrontd/src/serving/order_task.rs
@@ -30,57 +30,57 @@
 use super::permits;
 
 /// How long nodes are given to hear that a model will leave.
-const WITHDRAW_TIME: Duration = Duration::from_millis(150);
+const MODEL_WITHDRAWAL_NOTICE: Duration = Duration::from_millis(150);
 
 /// How long nodes are given to hear that an adapter will leave that is asked for little.
-const WITHDRAW_ADAPTER_TIME: Duration = Duration::from_millis(30);
+const ADAPTER_WITHDRAWAL_NOTICE: Duration = Duration::from_millis(30);
 
 /// How long an adapter takes to come in at most, as a rule. Nodes are told of it after this time
 /// rather than when a report shows it: reports lag, and an engine without it refuses the request.
-const ADAPTER_TIME: Duration = Duration::from_millis(50);
+const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(50);
 
 /// How long an engine is left alone after an order that did not go as planned.
-const AFTER_FAULT: Duration = Duration::from_millis(700);
+const REST_AFTER_FAULT: Duration = Duration::from_millis(700);
 
 /// How often an engine is asked whether a load or unload of a model is done: its reports are some
 /// tenths of a second old.
-const MODEL_POLL: Duration = Duration::from_millis(200);
+const MODEL_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The first pause before an engine is asked whether it has an adapter; it doubles each time.
-const ADAPTER_POLL: Duration = Duration::from_millis(100);
+const FIRST_ADAPTER_POLL: Duration = Duration::from_millis(100);
 
 /// How many times a load may take what the configuration says, until the order is given up.
-const LOAD_PATIENCE: u32 = 4;
+const MAX_LOAD_TIMES: u32 = 4;
 
 /// The least time that any order may take.
-const LEAST_PATIENCE: Duration = Duration::from_secs(15);
+const MIN_ORDER_WAIT: Duration = Duration::from_secs(15);
 
 /// How long orders about adapters are waited for: an adapter in use leaves only with its requests.
-const ADAPTER_PATIENCE: Duration = Duration::from_millis(1_500);
+const MAX_ADAPTER_WAIT: Duration = Duration::from_millis(1_500);
 
 /// How long a report may take.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// How long a turn at an engine with a limit is waited for.
-const TURN_PATIENCE: Duration = Duration::from_millis(1_000);
+const MAX_PERMIT_WAIT: Duration = Duration::from_millis(1_000);
 
 /// How long a connection to an engine may take to open.
-const CONNECT_TIME: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Why an order has no effect that was meant for a run that is over.
-const OTHER_RUN: &str = "the engine has started again";
+const OTHER_INCARNATION: &str = "the engine has started again";
 
 /// How large an engine's report may be, in bytes.
-const MAX_REPORT: usize = 256 * 1024;
+const MAX_REPORT_BYTES: usize = 256 * 1024;
 
 /// The right to call an engine, with a turn there if it has named a limit.
 #[derive(Clone, Copy)]
-struct CallRight {
-    turn: Option<Permit>,
+struct CallPermit {
+    permit: Option<Permit>,
 }
 
 /// Orders that an engine took.
-struct Given<'a> {
+struct AcceptedOrders<'a> {
     proposals: Vec<&'a Proposal>,
     /// How many orders the engine has taken then.
     sequence: u64,
@@ -93,9 +93,9 @@
     /// The node.
     pub node: Arc<ServingNode>,
     /// The right to give orders.
-    pub right: Arc<OrderFence>,
+    pub order_fence: Arc<OrderFence>,
     /// What is under way at all engines.
-    pub book: Arc<Mutex<OrderTracker>>,
+    pub tracker: Arc<Mutex<OrderTracker>>,
     /// The engines' figures.
     pub spec: EngineSpec,
     /// The engine.
@@ -107,18 +107,18 @@
 impl OrderTask {
     /// Carries the orders out and notes that the engine can get others.
     pub async fn run(self) {
-        let done = self.carry_out().await;
+        let done = self.execute().await;
         let now = self.node.now();
-        let mut book = self.book.lock();
-        let engine_orders = book.engines.entry(self.id().clone()).or_default();
+        let mut tracker = self.tracker.lock();
+        let engine_orders = tracker.engines.entry(self.id().clone()).or_default();
         engine_orders.working = false;
         engine_orders.awaits_load = false;
         engine_orders.loading = None;
         engine_orders.leaving = None;
         if !done {
-            engine_orders.rest_until = now + AFTER_FAULT;
+            engine_orders.rest_until = now + REST_AFTER_FAULT;
         }
-        drop(book);
+        drop(tracker);
         self.node.lacking.notify_one();
     }
 
@@ -127,17 +127,17 @@
     }
 
     /// Carries the orders out. Returns whether they went as planned.
-    async fn carry_out(&self) -> bool {
+    async fn execute(&self) -> bool {
         let leaving = self.proposals.iter().filter(|one| one.operation == Operation::Unload);
         let leaving: Vec<&Proposal> = leaving.collect();
         if !leaving.is_empty() {
-            self.note(&leaving, EntryKind::Withdrawn);
+            self.announce(&leaving, EntryKind::Withdrawn);
             let of_model = leaving.iter().any(|one| one.item.adapter.is_none());
-            sleep(if of_model { WITHDRAW_TIME } else { WITHDRAW_ADAPTER_TIME }).await;
+            sleep(if of_model { MODEL_WITHDRAWAL_NOTICE } else { ADAPTER_WITHDRAWAL_NOTICE }).await;
         }
-        let given = self.order_all().await;
-        let all = given.proposals.len() == self.proposals.len();
-        let done = self.wait(&given).await && all;
+        let accepted = self.order_all().await;
+        let all = accepted.proposals.len() == self.proposals.len();
+        let done = self.wait_until_done(&accepted).await && all;
         if !done {
             let mut overlay = self.node.overlay.lock();
             for proposal in &self.proposals {
@@ -152,7 +152,7 @@
     }
 
     /// Tells all nodes what happens to items.
-    fn note(&self, proposals: &[&Proposal], kind: EntryKind) {
+    fn announce(&self, proposals: &[&Proposal], kind: EntryKind) {
         let now = self.node.now();
         let mut overlay = self.node.overlay.lock();
         for proposal in proposals {
@@ -164,16 +164,17 @@
     }
 
     /// Gives the orders one after the other, as far as the engine takes them.
-    async fn order_all(&self) -> Given<'_> {
-        let mut given = Given { proposals: Vec::new(), sequence: 0, load_time: Duration::ZERO };
-        let Some(mut report) = self.report().await else {
-            return given;
+    async fn order_all(&self) -> AcceptedOrders<'_> {
+        let mut accepted =
+            AcceptedOrders { proposals: Vec::new(), sequence: 0, load_time: Duration::ZERO };
+        let Some(mut report) = self.read_report().await else {
+            return accepted;
         };
         if report.is_of_other_run(&self.server.entry) {
             for proposal in &self.proposals {
-                self.log(proposal, "order not given", report.sequence, OTHER_RUN);
+                self.log(proposal, "order not given", report.sequence, OTHER_INCARNATION);
             }
-            return given;
+            return accepted;
         }
         for proposal in &self.proposals {
             if let Err(fault) = check(proposal.operation, &proposal.item, &report, &self.spec) {
@@ -188,18 +189,18 @@
             let answer = self.send(proposal, &report).await;
             self.log(proposal, "order given", report.sequence, answer.name());
             if answer == OrderAnswer::Unknown {
-                self.book.lock().record_unanswered(&self.server.entry, self.node.now());
+                self.tracker.lock().record_unanswered(&self.server.entry, self.node.now());
             }
             self.node.metrics.orders.get_or_create(&KindLabel { kind: answer.name() }).inc();
             if !matches!(answer, OrderAnswer::Taken | OrderAnswer::AlreadyDone) {
                 break;
             }
             let load_time = self.load_time(proposal, &report);
-            given.load_time = given.load_time.max(load_time);
+            accepted.load_time = accepted.load_time.max(load_time);
             if proposal.operation == Operation::Load {
-                self.expect(&proposal.item, load_time);
+                self.record_expected(&proposal.item, load_time);
             }
-            given.proposals.push(proposal);
+            accepted.proposals.push(proposal);
             // It goes once the requests that use it have ended; nothing can take its place before.
             let waits = proposal.operation == Operation::Unload && answer == OrderAnswer::Taken;
             if waits && proposal.item.adapter.is_some() {
@@ -207,19 +208,19 @@
             }
             // The next order is checked against the memory as this one leaves it at the most.
             report.sequence += 1;
-            note_order(&mut report, proposal);
+            apply_to_report(&mut report, proposal);
         }
-        given.sequence = report.sequence;
-        given
+        accepted.sequence = report.sequence;
+        accepted
     }
 
     /// Notes when what was ordered should be there, for boxes that lack it.
-    fn expect(&self, item: &ModelRef, load_time: Duration) {
+    fn record_expected(&self, item: &ModelRef, load_time: Duration) {
         let wait = match item.adapter {
-            Some(_) => ADAPTER_TIME,
-            None => load_time + MODEL_POLL,
+            Some(_) => ADAPTER_LOAD_TIME,
+            None => load_time + MODEL_POLL_INTERVAL,
         };
-        missing_items::expect(&self.node, self.id(), item, self.node.now() + wait);
+        missing_items::expect_item(&self.node, self.id(), item, self.node.now() + wait);
     }
 
     /// Takes a load off the weight store's rate, if it comes from there.
@@ -231,22 +232,22 @@
         if !from_store {
             return true;
         }
-        let mut book = self.book.lock();
-        let ready = book.pacer.ready(self.spec.loads_per_s, self.node.now());
+        let mut tracker = self.tracker.lock();
+        let ready = tracker.pacer.ready(self.spec.loads_per_s, self.node.now());
         if ready {
-            book.pacer.began();
+            tracker.pacer.began();
         }
-        if let Some(engine_orders) = book.engines.get_mut(self.id()) {
+        if let Some(engine_orders) = tracker.engines.get_mut(self.id()) {
             engine_orders.awaits_load = false;
         }
         ready
     }
 
     async fn send(&self, proposal: &Proposal, report: &EngineReport) -> OrderAnswer {
-        let Some(right) = self.wait_for_right().await else {
+        let Some(permit) = self.wait_for_call_permit().await else {
             return OrderAnswer::NotSent;
         };
-        let Some(fence) = self.right.usable(self.node.now()) else {
+        let Some(fence) = self.order_fence.usable(self.node.now()) else {
             return OrderAnswer::NotSent;
         };
         let order = EngineOrder {
@@ -258,15 +259,15 @@
         };
         let server = &self.server.entry;
         // A new connection each time: nothing that was written earlier can arrive behind it.
-        let options = SendOptions { connect_time: CONNECT_TIME, max_idle: Duration::ZERO };
+        let options = SendOptions { connect_time: CONNECT_TIMEOUT, max_idle: Duration::ZERO };
         let may_order =
-            || self.right.usable(self.node.now()) == Some(fence) && self.may_call(right);
+            || self.order_fence.usable(self.node.now()) == Some(fence) && self.may_call(permit);
         let make = || may_order().then(|| self.node.ports.servers.order_request(server, &order));
         let sending = self.node.pool.send(&server.address, options, make);
         let sent_at = self.node.now();
         match timeout(ORDER_TIMEOUT, sending).await {
             Ok(Ok(answer)) => {
-                self.hear(&answer, sent_at);
+                self.observe_head(&answer, sent_at);
                 self.node.ports.servers.read_order_answer(answer.head.status)
             }
             Ok(Err(
@@ -280,42 +281,44 @@
 
     /// Waits until the orders are done, and tells all nodes of each as it is. Returns whether all
     /// are.
-    async fn wait(&self, given: &Given<'_>) -> bool {
-        let mut open = given.proposals.clone();
+    async fn wait_until_done(&self, accepted: &AcceptedOrders<'_>) -> bool {
+        let mut open = accepted.proposals.clone();
         if open.is_empty() {
             return false;
         }
         let start = self.node.now();
         let of_model = open.iter().any(|proposal| proposal.item.adapter.is_none());
-        let (patience, mut pause) = match of_model {
-            true => ((given.load_time * LOAD_PATIENCE).max(LEAST_PATIENCE), MODEL_POLL),
-            false => (ADAPTER_PATIENCE, ADAPTER_POLL),
+        let (max_wait, mut pause) = match of_model {
+            true => {
+                ((accepted.load_time * MAX_LOAD_TIMES).max(MIN_ORDER_WAIT), MODEL_POLL_INTERVAL)
+            }
+            false => (MAX_ADAPTER_WAIT, FIRST_ADAPTER_POLL),
         };
         match of_model {
-            true => sleep(given.load_time).await,
-            false => self.expect_adapters(&given.proposals).await,
+            true => sleep(accepted.load_time).await,
+            false => self.announce_adapters(&accepted.proposals).await,
         }
-        while self.node.now().since(start) < patience {
+        while self.node.now().since(start) < max_wait {
             sleep(pause).await;
             if self.is_gone() {
                 return false;
             }
-            self.settle(&mut open, self.row_residents().as_ref());
+            self.remove_done(&mut open, self.row_residents().as_ref());
             if open.is_empty() {
                 return true;
             }
             // What an engine with a limit holds its row tells, later: each question would take the place of a request.
-            let report = if self.limit().is_none() { self.report().await } else { None };
+            let report = if self.limit().is_none() { self.read_report().await } else { None };
             if let Some(other) = report.as_ref().filter(|it| it.is_of_other_run(&self.server.entry))
             {
                 for proposal in &open {
-                    self.log(proposal, "order undone", other.sequence, OTHER_RUN);
+                    self.log(proposal, "order undone", other.sequence, OTHER_INCARNATION);
                 }
                 return false;
             }
             // A report that is from before the orders says nothing about them.
-            if let Some(report) = report.filter(|it| it.sequence >= given.sequence) {
-                self.settle(&mut open, Some(&report.models));
+            if let Some(report) = report.filter(|it| it.sequence >= accepted.sequence) {
+                self.remove_done(&mut open, Some(&report.models));
                 if open.is_empty() {
                     return true;
                 }
@@ -327,18 +330,18 @@
                     return false;
                 }
             }
-            pause = (pause * 2).min(MODEL_POLL);
+            pause = (pause * 2).min(MODEL_POLL_INTERVAL);
         }
         false
     }
 
     /// Tells all nodes of adapters that should be there by now.
-    async fn expect_adapters(&self, taken: &[&Proposal]) {
-        sleep(ADAPTER_TIME).await;
+    async fn announce_adapters(&self, taken: &[&Proposal]) {
+        sleep(ADAPTER_LOAD_TIME).await;
         let loads = taken.iter().copied().filter(|one| one.operation == Operation::Load);
         let loads: Vec<&Proposal> = loads.collect();
         if !loads.is_empty() {
-            self.note(&loads, EntryKind::Added);
+            self.announce(&loads, EntryKind::Added);
         }
     }
 
@@ -353,7 +356,7 @@
     }
 
     /// Takes those that are done by `models` off `open`, and tells all nodes what was added.
-    fn settle(&self, open: &mut Vec<&Proposal>, models: Option<&Residents>) {
+    fn remove_done(&self, open: &mut Vec<&Proposal>, models: Option<&Residents>) {
         let Some(models) = models else {
             return;
         };
@@ -363,7 +366,7 @@
         let added = done.into_iter().filter(|one| one.operation == Operation::Load);
         let added: Vec<&Proposal> = added.collect();
         if !added.is_empty() {
-            self.note(&added, EntryKind::Added);
+            self.announce(&added, EntryKind::Added);
         }
     }
 
@@ -384,41 +387,42 @@
 
     /// Waits until the engine may be sent what is for no client, which comes out of what it takes for clients; `None` if
     /// it may not be sent that for now.
-    async fn wait_for_right(&self) -> Option<CallRight> {
+    async fn wait_for_call_permit(&self) -> Option<CallPermit> {
         let now = self.node.now();
         if self.node.notices.lock().backoff_until(self.id(), now).is_some() {
             return None;
         }
-        let turn = permits::acquire(&self.node, self.id(), TURN_PATIENCE).await.ok()?;
-        if let Some(turn) = turn {
-            permits::wait_until_valid(&self.node, turn).await;
+        let permit = permits::acquire(&self.node, self.id(), MAX_PERMIT_WAIT).await.ok()?;
+        if let Some(permit) = permit {
+            permits::wait_until_valid(&self.node, permit).await;
         }
-        Some(CallRight { turn })
+        Some(CallPermit { permit })
     }
 
     /// Returns whether a right still stands.
-    fn may_call(&self, right: CallRight) -> bool {
-        self.node.notices.lock().admits(self.id(), right.turn, self.node.now())
+    fn may_call(&self, permit: CallPermit) -> bool {
+        self.node.notices.lock().admits(self.id(), permit.permit, self.node.now())
     }
 
     /// Hears what the engine says of itself in an answer that is for no client. That it names no limit there says nothing.
-    fn hear(&self, answer: &UpstreamAnswer, sent: Moment) {
+    fn observe_head(&self, answer: &UpstreamAnswer, sent: Moment) {
         let head = self.node.ports.servers.read_head(&answer.head);
         let source = NoticeSource { sent, is_answer: false };
         notices::observe_head(&self.node, &self.server, &head, source, "an order or report");
     }
 
     /// Reads the engine's report and keeps it for the next plan.
-    async fn report(&self) -> Option<EngineReport> {
-        let right = self.wait_for_right().await?;
+    async fn read_report(&self) -> Option<EngineReport> {
+        let permit = self.wait_for_call_permit().await?;
         let server = &self.server.entry;
-        let make = || self.may_call(right).then(|| self.node.ports.servers.report_request(server));
-        let options = SendOptions { connect_time: CONNECT_TIME, max_idle: Duration::from_secs(2) };
+        let make = || self.may_call(permit).then(|| self.node.ports.servers.report_request(server));
+        let options =
+            SendOptions { connect_time: CONNECT_TIMEOUT, max_idle: Duration::from_secs(2) };
         let asked_at = self.node.now();
         let reading = async {
             let answer = self.node.pool.send(&server.address, options, make).await?;
-            self.hear(&answer, asked_at);
-            answer.body.read(MAX_REPORT).await
+            self.observe_head(&answer, asked_at);
+            answer.body.read(MAX_REPORT_BYTES).await
         };
         let body = match timeout(REPORT_TIMEOUT, reading).await {
             Ok(Ok(body)) => body,
@@ -443,8 +447,8 @@
         };
         match self.node.ports.servers.read_report(&body) {
             Ok(report) => {
-                let mut book = self.book.lock();
-                let engine_orders = book.engines.entry(server.id.clone()).or_default();
+                let mut tracker = self.tracker.lock();
+                let engine_orders = tracker.engines.entry(server.id.clone()).or_default();
                 engine_orders.report = Some((report.clone(), asked_at));
                 Some(report)
             }
@@ -472,7 +476,7 @@
 }
 
 /// Notes an order to an adapter in a report, for the check of the next order.
-fn note_order(report: &mut EngineReport, proposal: &Proposal) {
+fn apply_to_report(report: &mut EngineReport, proposal: &Proposal) {
     let Some(adapter) = &proposal.item.adapter else {
         return;
     };
--- a/trackfrontd/src/serving/order_tracker.rs
+++ b/trackfrontd/src/serving/order_tracker.rs
@@ -27,7 +27,7 @@
 }
 
 /// How long an order that was not answered may still be carried out: the engine may do so seconds later.
-const MAY_COME_FOR: Duration = Duration::from_secs(15);
+const STALE_ORDER_WINDOW: Duration = Duration::from_secs(15);
 
 /// What is under way at all engines.
 pub struct OrderTracker {
@@ -47,7 +47,7 @@
 
     /// Notes that no answer came to an order.
     pub fn record_unanswered(&mut self, server: &ServerEntry, now: Moment) {
-        let until = now + MAY_COME_FOR;
+        let until = now + STALE_ORDER_WINDOW;
         self.unanswered.insert(server.key.clone(), (server.id.clone(), until));
     }
 
--- a/trackfrontd/src/serving/overlay.rs
+++ b/trackfrontd/src/serving/overlay.rs
@@ -17,7 +17,7 @@
 
 /// How long a note counts after it was last told, or after what it says should have come. Rows say the
 /// same by then.
-const NOTES_FOR: Duration = Duration::from_millis(2_500);
+const ENTRY_TTL: Duration = Duration::from_millis(2_500);
 
 /// What a note says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Note {
+struct Entry {
     kind: EntryKind,
     until: Moment,
 }
@@ -40,7 +40,7 @@
 /// Notes about items on engines.
 #[derive(Debug, Default)]
 pub struct Overlay {
-    notes: HashMap<BackendId, HashMap<ModelRef, Note>>,
+    entries: HashMap<BackendId, HashMap<ModelRef, Entry>>,
 }
 
 impl Overlay {
@@ -50,46 +50,46 @@
             EntryKind::Pending(at) => at.max(now),
             EntryKind::Withdrawn | EntryKind::Added => now,
         };
-        let note = Note { kind, until: from + NOTES_FOR };
-        self.notes.entry(server.clone()).or_default().insert(item.clone(), note);
+        let entry = Entry { kind, until: from + ENTRY_TTL };
+        self.entries.entry(server.clone()).or_default().insert(item.clone(), entry);
     }
 
     /// Drops a note.
     pub fn clear(&mut self, server: &BackendId, item: &ModelRef) {
-        if let Some(notes) = self.notes.get_mut(server) {
-            notes.remove(item);
+        if let Some(entries) = self.entries.get_mut(server) {
+            entries.remove(item);
         }
     }
 
     /// Drops notes that were not told again for long.
     pub fn forget_old(&mut self, now: Moment) {
-        for notes in self.notes.values_mut() {
-            notes.retain(|_, note| now < note.until);
+        for entries in self.entries.values_mut() {
+            entries.retain(|_, entry| now < entry.until);
         }
-        self.notes.retain(|_, notes| !notes.is_empty());
+        self.entries.retain(|_, entries| !entries.is_empty());
     }
 
     /// Returns what was added and withdrawn.
     pub fn all(&self) -> impl Iterator<Item = (&BackendId, &ModelRef, EntryKind)> {
-        let all = self.notes.iter().flat_map(|(server, notes)| {
-            notes.iter().map(move |(item, note)| (server, item, note.kind))
+        let all = self.entries.iter().flat_map(|(server, entries)| {
+            entries.iter().map(move |(item, entry)| (server, item, entry.kind))
         });
         all.filter(|(_, _, kind)| !matches!(kind, EntryKind::Pending(_)))
     }
 
     /// Returns the engines to which the model of an item was added, or should have been, before their rows say so.
     pub fn added_to<'a>(&'a self, item: &'a ModelRef) -> impl Iterator<Item = &'a BackendId> {
-        let is_added = |(of, note): (&ModelRef, &Note)| {
-            of.model == item.model && note.kind != EntryKind::Withdrawn
+        let is_added = |(of, entry): (&ModelRef, &Entry)| {
+            of.model == item.model && entry.kind != EntryKind::Withdrawn
         };
-        let engines = self.notes.iter();
-        engines.filter(move |(_, notes)| notes.iter().any(is_added)).map(|(server, _)| server)
+        let engines = self.entries.iter();
+        engines.filter(move |(_, entries)| entries.iter().any(is_added)).map(|(server, _)| server)
     }
 
     /// Returns when an item should be there, on the engine that has it first.
     pub fn expected_at(&self, item: &ModelRef) -> Option<Moment> {
-        let notes = self.notes.values().filter_map(|notes| notes.get(item));
-        let coming = notes.filter_map(|note| match note.kind {
+        let entries = self.entries.values().filter_map(|entries| entries.get(item));
+        let coming = entries.filter_map(|entry| match entry.kind {
             EntryKind::Pending(at) => Some(at),
             EntryKind::Withdrawn | EntryKind::Added => None,
         });
@@ -101,14 +101,14 @@
         &'a self,
         item: &'a ModelRef,
     ) -> impl Iterator<Item = (&'a BackendId, Moment)> {
-        self.notes.iter().filter_map(|(server, notes)| match notes.get(item)?.kind {
+        self.entries.iter().filter_map(|(server, entries)| match entries.get(item)?.kind {
             EntryKind::Pending(at) => Some((server, at)),
             EntryKind::Withdrawn | EntryKind::Added => None,
         })
     }
 
     fn kind(&self, server: &BackendId, item: &ModelRef) -> Option<EntryKind> {
-        Some(self.notes.get(server)?.get(item)?.kind)
+        Some(self.entries.get(server)?.get(item)?.kind)
     }
 }
 
--- a/trackfrontd/src/serving/permits.rs
+++ b/trackfrontd/src/serving/permits.rs
@@ -22,16 +22,16 @@
 use super::quota::box_id;
 
 /// How long a keeper is waited for. A box whose share of a processor is spent stands still for up to a tenth of a second.
-const ANSWER_TIME: Duration = Duration::from_millis(120);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// Turns at servers that named a limit, as one box gives and takes them.
 pub struct ServerPermits {
-    given: Mutex<PermitIssuer>,
+    issuer: Mutex<PermitIssuer>,
     /// When this box may ask for turns.
     pub gates: Mutex<PermitGates>,
-    open: Mutex<HashMap<u32, oneshot::Sender<PermitAnswer>>>,
+    pending: Mutex<HashMap<u32, oneshot::Sender<PermitAnswer>>>,
     last_number: AtomicU32,
-    to_ask: Mutex<Vec<(Ipv4Addr, PermitRequest)>>,
+    outgoing: Mutex<Vec<(Ipv4Addr, PermitRequest)>>,
     wake: Notify,
 }
 
@@ -40,11 +40,11 @@
     /// from one start of a box to the next.
     pub fn new(number: u32) -> Self {
         Self {
-            given: Mutex::default(),
+            issuer: Mutex::default(),
             gates: Mutex::default(),
-            open: Mutex::default(),
+            pending: Mutex::default(),
             last_number: AtomicU32::new(number),
-            to_ask: Mutex::default(),
+            outgoing: Mutex::default(),
             wake: Notify::new(),
         }
     }
@@ -58,14 +58,14 @@
 }
 
 /// A question that is open until this is dropped.
-struct Open<'a> {
-    turns: &'a ServerPermits,
+struct PendingRequest<'a> {
+    permits: &'a ServerPermits,
     number: u32,
 }
 
-impl Drop for Open<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        self.turns.open.lock().remove(&self.number);
+        self.permits.pending.lock().remove(&self.number);
     }
 }
 
@@ -74,87 +74,91 @@
 pub async fn acquire(
     node: &ServingNode,
     server: &BackendId,
-    patience: Duration,
+    max_wait: Duration,
 ) -> Result<Option<Permit>, NoPermit> {
     let Some(per_s) = node.notices.lock().limit_per_s(server) else {
         return Ok(None);
     };
-    let from = ask(node, server, per_s, patience).await;
+    let from = request(node, server, per_s, max_wait).await;
     from.map(|from| Some(Permit { from })).ok_or(NoPermit { per_s })
 }
 
 /// Waits until a turn may be used.
-pub async fn wait_until_valid(node: &ServingNode, turn: Permit) {
-    sleep(turn.from.since(node.now())).await;
+pub async fn wait_until_valid(node: &ServingNode, answer: Permit) {
+    sleep(answer.from.since(node.now())).await;
 }
 
 /// Asks for a turn at a server that takes `per_s` requests a second. Returns when it comes.
-async fn ask(
+async fn request(
     node: &ServingNode,
     server: &BackendId,
     per_s: f64,
-    patience: Duration,
+    max_wait: Duration,
 ) -> Option<Moment> {
     let asked = node.now();
-    let place = short_server(server);
+    let short_name = short_server(server);
     // With a part of the boxes this one would take itself for the keeper.
-    let keeper = node.knows_nodes().then(|| keeper(node, place, asked)).flatten();
-    let Some(keeper) = keeper else {
+    let coordinator = node.knows_nodes().then(|| coordinator(node, short_name, asked)).flatten();
+    let Some(coordinator) = coordinator else {
         node.permits.gates.lock().close_without_coordinator(server, asked);
         return None;
     };
     let ask = PermitRequest {
         number: node.permits.last_number.fetch_add(1, Ordering::Relaxed),
-        server: place,
+        server: short_name,
         per_s,
-        patience_ms: u32::try_from(patience.as_millis()).unwrap_or(u32::MAX),
-        is_stand_in: keeper.is_standby,
+        patience_ms: u32::try_from(max_wait.as_millis()).unwrap_or(u32::MAX),
+        is_stand_in: coordinator.is_standby,
     };
     let me = node.settings.load().node.ip;
-    let turn = match keeper.id == box_id(me) {
-        true => Some(give(node, &ask)),
-        false => ask_box(node, keeper.id, ask).await,
+    let answer = match coordinator.id == box_id(me) {
+        true => Some(issue(node, &ask)),
+        false => ask_peer(node, coordinator.id, ask).await,
     };
     let now = node.now();
-    match turn {
+    match answer {
         Some(PermitAnswer::GrantedIn(wait)) => Some(now + wait),
         Some(PermitAnswer::NotBefore(wait)) => {
             node.permits.gates.lock().close(server, wait, now);
             None
         }
         None => {
-            node.permits.gates.lock().mark_unresponsive(keeper.id, now);
-            let keeper = Ipv4Addr::from_bits(keeper.id.0);
-            log::info!(server:%, keeper:%, is_stand_in = ask.is_stand_in; "no answer for a turn");
+            node.permits.gates.lock().mark_unresponsive(coordinator.id, now);
+            let coordinator = Ipv4Addr::from_bits(coordinator.id.0);
+            log::info!(server:%, keeper:% = coordinator, is_stand_in = ask.is_stand_in; "no answer for a turn");
             None
         }
     }
 }
 
-fn keeper(node: &ServingNode, place: u32, now: Moment) -> Option<Coordinator> {
+fn coordinator(node: &ServingNode, short_name: u32, now: Moment) -> Option<Coordinator> {
     let me = node.settings.load().node.ip;
     let others = node.peers.lock().reachable(now);
     let boxes = others.into_iter().chain([me]).map(box_id);
-    node.permits.gates.lock().coordinator(place, boxes, now)
+    node.permits.gates.lock().coordinator(short_name, boxes, now)
 }
 
 /// Asks another box; `None` if it does not answer in time.
-async fn ask_box(node: &ServingNode, keeper: BoxId, ask: PermitRequest) -> Option<PermitAnswer> {
+async fn ask_peer(
+    node: &ServingNode,
+    coordinator: BoxId,
+    ask: PermitRequest,
+) -> Option<PermitAnswer> {
     let (tell, told) = oneshot::channel();
-    node.permits.open.lock().insert(ask.number, tell);
-    let open = Open { turns: &node.permits, number: ask.number };
-    node.permits.to_ask.lock().push((Ipv4Addr::from_bits(keeper.0), ask));
+    node.permits.pending.lock().insert(ask.number, tell);
+    let pending = PendingRequest { permits: &node.permits, number: ask.number };
+    node.permits.outgoing.lock().push((Ipv4Addr::from_bits(coordinator.0), ask));
     node.permits.wake.notify_one();
-    let turn = timeout(ANSWER_TIME, told).await;
-    drop(open);
-    turn.ok()?.ok()
+    let answer = timeout(REPLY_TIMEOUT, told).await;
+    drop(pending);
+    answer.ok()?.ok()
 }
 
 /// Sends the questions of this box, for as long as it lives.
 pub async fn send_requests(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     loop {
         node.permits.wake.notified().await;
-        let asks = std::mem::take(&mut *node.permits.to_ask.lock());
+        let asks = std::mem::take(&mut *node.permits.outgoing.lock());
         for (to, ask) in asks {
             socket.send_now(&Message::PermitRequest(ask), to);
         }
@@ -166,7 +170,7 @@
     if !node.knows_nodes() || !ask.per_s.is_finite() {
         return;
     }
-    let (is_given, wait) = match give(node, ask) {
+    let (is_given, wait) = match issue(node, ask) {
         PermitAnswer::GrantedIn(wait) => (true, wait),
         PermitAnswer::NotBefore(wait) => (false, wait),
     };
@@ -178,7 +182,7 @@
 }
 
 /// Gives a turn as the keeper, by the limit that this box knows, or else the one that was named to it.
-fn give(node: &ServingNode, ask: &PermitRequest) -> PermitAnswer {
+fn issue(node: &ServingNode, ask: &PermitRequest) -> PermitAnswer {
     let now = node.now();
     let server = node.names.lock().server(ask.server).cloned();
     let known = server.and_then(|server| node.notices.lock().limit_per_s(&server));
@@ -187,24 +191,24 @@
         (peers.reachable(now).len() + 1, peers.sharing(now))
     };
     let per_s = coordinator_rate(known.unwrap_or(ask.per_s), reached, all, ask.is_stand_in);
-    let patience = Duration::from_millis(u64::from(ask.patience_ms));
-    node.permits.given.lock().request(ask.server, per_s, patience, now)
+    let max_wait = Duration::from_millis(u64::from(ask.patience_ms));
+    node.permits.issuer.lock().request(ask.server, per_s, max_wait, now)
 }
 
 /// Takes in the answer of a keeper. One that nobody waits for any more is a turn that lapses.
 pub fn handle_reply(node: &ServingNode, told: PermitReply) {
-    let Some(tell) = node.permits.open.lock().remove(&told.number) else {
+    let Some(tell) = node.permits.pending.lock().remove(&told.number) else {
         return;
     };
     let wait = Duration::from_millis(u64::from(told.wait_ms));
-    let turn =
+    let answer =
         if told.is_given { PermitAnswer::GrantedIn(wait) } else { PermitAnswer::NotBefore(wait) };
     // Its request may have left in this moment.
-    let _ = tell.send(turn);
+    let _ = tell.send(answer);
 }
 
 /// Drops what is over.
 pub fn sweep(node: &ServingNode, now: Moment) {
-    node.permits.given.lock().forget_old(now);
+    node.permits.issuer.lock().forget_old(now);
     node.permits.gates.lock().forget_old(now);
 }
--- a/trackfrontd/src/serving/pipeline/attempt.rs
+++ b/trackfrontd/src/serving/pipeline/attempt.rs
@@ -74,7 +74,7 @@
     /// Notes that the server's answer came to its end, whatever it says.
     pub fn record_answer(&mut self, ending: AttemptOutcome) {
         self.finish(ending);
-        self.node.crashes.lives(&self.server.entry.id, self.node.now());
+        self.node.crashes.record_alive(&self.server.entry.id, self.node.now());
         if self.has_own_end {
             crashes::request_completed(&self.node, self.fingerprint);
         }
--- a/trackfrontd/src/serving/pipeline/mod.rs
+++ b/trackfrontd/src/serving/pipeline/mod.rs
@@ -381,7 +381,7 @@
     /// Returns whether it may still be sent, as far as what it did to servers goes.
     fn may_pass_quarantine(&self) -> bool {
         let is_trial = self.is_trial.load(Ordering::Relaxed);
-        is_trial || self.node.crashes.held_off(self.fingerprint).is_none()
+        is_trial || self.node.crashes.quarantined(self.fingerprint).is_none()
     }
 
     /// Refuses what is held off, also while it waits between two sends.
@@ -389,7 +389,7 @@
         if self.is_trial.load(Ordering::Relaxed) {
             return None;
         }
-        let servers = self.node.crashes.held_off(self.fingerprint)?;
+        let servers = self.node.crashes.quarantined(self.fingerprint)?;
         if attempts.servers.is_empty() && crashes::take_trial(&self.node, self.fingerprint) {
             self.is_trial.store(true, Ordering::Relaxed);
             return None;
--- a/trackfrontd/src/serving/placement.rs
+++ b/trackfrontd/src/serving/placement.rs
@@ -28,63 +28,63 @@
 use super::order_tracker::{OrderTracker, view};
 
 /// How often a plan is made.
-const ROUND: Duration = Duration::from_millis(250);
+const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The least time between two plans.
-const LEAST_ROUND: Duration = Duration::from_millis(15);
+const MIN_ROUND_GAP: Duration = Duration::from_millis(15);
 
 /// How many times as long as a plan took nothing is planned after it: a box that plans for thousands of engines still
 /// answers requests, and hears others.
-const PAUSE_FOR_EACH_PLAN: u32 = 4;
+const PAUSE_PER_PLANNING_TIME: u32 = 4;
 
 /// The longest such pause: the machine may have been suspended while it planned.
-const LONGEST_PAUSE: Duration = Duration::from_millis(2_000);
+const MAX_PAUSE: Duration = Duration::from_millis(2_000);
 
 /// How often the inputs of a plan are logged.
-const SUMMARY_EVERY: Duration = Duration::from_secs(1);
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How many models such a line names at most.
 const SUMMARY_MODELS: usize = 12;
 
 /// How long it takes as a rule until a model that gives way has left: it is withdrawn for 150 ms, and its
 /// requests in progress end.
-const ROOM_TIME: Duration = Duration::from_millis(1_000);
+const EVICTION_TIME: Duration = Duration::from_millis(1_000);
 
 /// How long an engine that fails requests is taken to hold nothing, before it is planned without.
-const UNREACHABLE_FOR: Duration = Duration::from_millis(700);
+const UNREACHABLE_GRACE: Duration = Duration::from_millis(700);
 
 /// The giver of orders.
 pub struct Placement {
     node: Arc<ServingNode>,
     lease: OrderLease,
-    right: Arc<OrderFence>,
-    book: Arc<Mutex<OrderTracker>>,
+    order_fence: Arc<OrderFence>,
+    tracker: Arc<Mutex<OrderTracker>>,
     tasks: JoinSet<()>,
-    summed_up_at: Moment,
+    summary_logged_at: Moment,
     /// How long the last plan of all services took.
-    planned_for: Duration,
+    planning_time: Duration,
 }
 
 impl Placement {
     /// Makes a giver that holds no lease.
     pub fn new(node: Arc<ServingNode>, giving: Arc<HoldsOrderLease>) -> Self {
-        let right = Arc::new(OrderFence::default());
-        let lease = OrderLease::new(node.clone(), right.clone(), giving);
+        let order_fence = Arc::new(OrderFence::default());
+        let lease = OrderLease::new(node.clone(), order_fence.clone(), giving);
         let terms = node.settings.load().promises.loads();
-        let book = OrderTracker::new(LoadPacer::new(terms, node.now()));
-        let (book, tasks) = (Arc::new(Mutex::new(book)), JoinSet::new());
-        let (summed_up_at, planned_for) = (Moment::default(), Duration::ZERO);
-        Self { node, lease, right, book, tasks, summed_up_at, planned_for }
+        let tracker = OrderTracker::new(LoadPacer::new(terms, node.now()));
+        let (tracker, tasks) = (Arc::new(Mutex::new(tracker)), JoinSet::new());
+        let (summary_logged_at, planning_time) = (Moment::default(), Duration::ZERO);
+        Self { node, lease, order_fence, tracker, tasks, summary_logged_at, planning_time }
     }
 
     /// Plans and gives orders until the node stops, then gives the lease up.
     pub async fn run(mut self) {
         while !self.node.is_stopping() {
             let lacking = self.node.lacking.notified();
-            let _ = timeout(ROUND, lacking).await;
-            let pause = (self.planned_for * PAUSE_FOR_EACH_PLAN).min(LONGEST_PAUSE);
-            sleep(LEAST_ROUND.max(pause)).await;
-            self.planned_for = Duration::ZERO;
+            let _ = timeout(ROUND_INTERVAL, lacking).await;
+            let pause = (self.planning_time * PAUSE_PER_PLANNING_TIME).min(MAX_PAUSE);
+            sleep(MIN_ROUND_GAP.max(pause)).await;
+            self.planning_time = Duration::ZERO;
             while self.tasks.try_join_next().is_some() {}
             self.round().await;
         }
@@ -107,27 +107,27 @@
         if self.node.is_alone_for_now() || !self.knows_engines(&placed) {
             return;
         }
-        let was_giver = self.lease.is_holder();
+        let was_holder = self.lease.is_holder();
         if !self.lease.try_acquire().await {
             return;
         }
         let now = self.node.now();
-        if !was_giver {
+        if !was_holder {
             // What an earlier tenure began has no right any more, and its end is not to be taken for
             // the end of what this one begins.
             self.tasks.abort_all();
-            let mut book = self.book.lock();
-            book.pacer = LoadPacer::new(self.node.settings.load().promises.loads(), now);
-            book.engines.clear();
+            let mut tracker = self.tracker.lock();
+            tracker.pacer = LoadPacer::new(self.node.settings.load().promises.loads(), now);
+            tracker.engines.clear();
         }
         self.node.overlay.lock().forget_old(now);
         for (service, spec) in placed {
             let began = self.node.now();
             let proposals = self.propose(&service, &spec, now);
-            self.planned_for += self.node.now().since(began);
+            self.planning_time += self.node.now().since(began);
             if !proposals.is_empty() && self.lease.renew().await {
                 for (engine, proposals) in by_engine(proposals) {
-                    self.begin(&engine, proposals, &spec);
+                    self.start_task(&engine, proposals, &spec);
                 }
             }
         }
@@ -144,8 +144,8 @@
         let servers: Vec<Arc<KnownServer>> =
             self.node.directory.lock().of_service(service).to_vec();
         let mut in_use = self.node.adapter_use.lock().by_server(now);
-        let mut book = self.book.lock();
-        book.forget_old(now);
+        let mut tracker = self.tracker.lock();
+        tracker.forget_old(now);
         let mut views = Vec::with_capacity(servers.len());
         let evacuations = self.node.evacuations.lock();
         // Nothing is sent to servers of a hall that is emptied, so what they hold is missing.
@@ -154,28 +154,28 @@
         };
         let used: Vec<&Arc<KnownServer>> = servers.iter().filter(is_used).collect();
         let demand = self.node.demand.lock().total(now);
-        for (server, backs_off) in self.that_take_part(used, &demand, now) {
+        for (server, backs_off) in self.participating(used, &demand, now) {
             let mut loads = self.node.loads.lock();
             let load = loads.server(&server.entry.id);
             let silent = load.unreachable_since();
-            let lost = silent.is_some_and(|since| now.since(since) > UNREACHABLE_FOR);
+            let lost = silent.is_some_and(|since| now.since(since) > UNREACHABLE_GRACE);
             if !lost && !load.is_replaced() {
-                let engine_orders = book.engines.entry(server.entry.id.clone()).or_default();
+                let engine_orders = tracker.engines.entry(server.entry.id.clone()).or_default();
                 let seen = view(server, engine_orders, now);
                 let busy =
-                    seen.busy || book.may_receive_stale_order(&server.entry, now) || backs_off;
+                    seen.busy || tracker.may_receive_stale_order(&server.entry, now) || backs_off;
                 let in_use = in_use.remove(&server.entry.id).unwrap_or_default();
                 views.push(EngineView { in_use, busy, ..seen });
             }
         }
         let awaited =
-            book.engines.values().filter(|engine_orders| engine_orders.awaits_load).count();
-        let available = book.pacer.available(spec.loads_per_s, now);
+            tracker.engines.values().filter(|engine_orders| engine_orders.awaits_load).count();
+        let available = tracker.pacer.available(spec.loads_per_s, now);
         let store_loads = available.saturating_sub(awaited);
-        drop(book);
+        drop(tracker);
         let planned = plan(spec, &views, &demand, store_loads);
-        if now.since(self.summed_up_at) >= SUMMARY_EVERY {
-            self.summed_up_at = now;
+        if now.since(self.summary_logged_at) >= SUMMARY_INTERVAL {
+            self.summary_logged_at = now;
             let idle = views.iter().filter(|view| !view.busy).count();
             log_summary(service, views.len(), idle, &planned);
         }
@@ -183,7 +183,7 @@
     }
 
     /// Returns the engines that take their part of what is asked for, and whether each wants nothing from this box now.
-    fn that_take_part<'a>(
+    fn participating<'a>(
         &self,
         engines: Vec<&'a Arc<KnownServer>>,
         demand: &HashMap<ModelRef, Rate>,
@@ -202,13 +202,13 @@
     }
 
     /// Starts the task that carries the proposals for one engine out.
-    fn begin(&mut self, engine: &BackendId, proposals: Vec<Proposal>, spec: &EngineSpec) {
+    fn start_task(&mut self, engine: &BackendId, proposals: Vec<Proposal>, spec: &EngineSpec) {
         let Some(server) = self.node.directory.lock().get(engine).cloned() else {
             return;
         };
         {
-            let mut book = self.book.lock();
-            let engine_orders = book.engines.entry(engine.clone()).or_default();
+            let mut tracker = self.tracker.lock();
+            let engine_orders = tracker.engines.entry(engine.clone()).or_default();
             assert!(!engine_orders.working, "an engine gets orders from one task at a time");
             engine_orders.working = true;
             for proposal in proposals.iter().filter(|proposal| proposal.item.adapter.is_none()) {
@@ -225,11 +225,11 @@
                 }
             }
         }
-        self.expect(&server, &proposals, spec);
+        self.record_expected(&server, &proposals, spec);
         let task = OrderTask {
             node: self.node.clone(),
-            right: self.right.clone(),
-            book: self.book.clone(),
+            order_fence: self.order_fence.clone(),
+            tracker: self.tracker.clone(),
             spec: spec.clone(),
             server,
             proposals,
@@ -241,21 +241,21 @@
 impl Placement {
     /// Notes when the models that were proposed should be there, for boxes that lack them. The orders'
     /// answers make it more exact.
-    fn expect(&self, server: &KnownServer, proposals: &[Proposal], spec: &EngineSpec) {
+    fn record_expected(&self, server: &KnownServer, proposals: &[Proposal], spec: &EngineSpec) {
         for proposal in proposals.iter().filter(|proposal| proposal.item.adapter.is_none()) {
-            let (comes, room_time) = match (proposal.operation, &proposal.makes_room_for) {
+            let (model_name, eviction_time) = match (proposal.operation, &proposal.makes_room_for) {
                 (Operation::Load, _) => (&proposal.item.model, Duration::ZERO),
-                (Operation::Unload, Some(comes)) => (comes, ROOM_TIME),
+                (Operation::Unload, Some(model_name)) => (model_name, EVICTION_TIME),
                 (Operation::Unload, None) => continue,
             };
-            let Some(model) = spec.models.get(comes) else {
+            let Some(model) = spec.models.get(model_name) else {
                 continue;
             };
             let entry = &server.entry;
             let load_time = model.load_time_with(&entry.in_memory, &entry.on_disk);
-            let item = ModelRef { model: comes.clone(), adapter: None };
-            let at = self.node.now() + room_time + load_time;
-            missing_items::expect(&self.node, &server.entry.id, &item, at);
+            let item = ModelRef { model: model_name.clone(), adapter: None };
+            let at = self.node.now() + eviction_time + load_time;
+            missing_items::expect_item(&self.node, &server.entry.id, &item, at);
         }
     }
 }
--- a/trackfrontd/src/serving/quota.rs
+++ b/trackfrontd/src/serving/quota.rs
@@ -15,7 +15,7 @@
 use super::peer_socket::PeerSocket;
 
 /// How often the boxes that share the limits are looked at anew.
-const BOXES_EVERY: Duration = Duration::from_millis(1_000);
+const BOXES_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Returns the limits of a configuration.
 pub fn limits(config: &ServingConfig) -> HashMap<AccountId, AccountLimit> {
@@ -25,19 +25,19 @@
 
 /// Asks again and again, for as long as the box lives.
 pub async fn maintain_quotas(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
-    let mut boxes_at: Option<Moment> = None;
-    let mut knew_all = false;
+    let mut boxes_set_at: Option<Moment> = None;
+    let mut knew_all_boxes = false;
     loop {
         let now = node.now();
         if node.quotas.has_limits() {
             // Until its limits know that all boxes are known, a box refuses what has a limit. Looked at once a second
             // only, that took up to 1 s longer than it need, in more than half of the starts eight at a time.
-            let knows_all = node.knows_nodes();
-            let learned_all = knows_all && !knew_all;
-            if learned_all || boxes_at.is_none_or(|at| now.since(at) >= BOXES_EVERY) {
+            let knows_all_boxes = node.knows_nodes();
+            let learned_all = knows_all_boxes && !knew_all_boxes;
+            if learned_all || boxes_set_at.is_none_or(|at| now.since(at) >= BOXES_INTERVAL) {
                 set_boxes(&node, now);
-                boxes_at = Some(now);
-                knew_all = knows_all;
+                boxes_set_at = Some(now);
+                knew_all_boxes = knows_all_boxes;
             }
             for send in node.quotas.questions(now) {
                 socket.send_now(&Message::QuotaRequest(send.ask), Ipv4Addr::from_bits(send.to.0));
--- a/trackfrontd/src/serving/unusable_rows.rs
+++ b/trackfrontd/src/serving/unusable_rows.rs
@@ -10,10 +10,10 @@
 
 /// How many such rows of one answer have a line of their own; the others are summed up, or a flood of them would be
 /// one of lines.
-const LINES: usize = 8;
+const MAX_LOGGED_ROWS: usize = 8;
 
 /// How many rows are remembered as logged; a listing has them again.
-const REMEMBERED: usize = 1_024;
+const MAX_REMEMBERED_ROWS: usize = 1_024;
 
 /// What was logged.
 #[derive(Debug, Default)]
@@ -24,8 +24,8 @@
 impl UnusableRows {
     /// Notes those among rows that were read from the platform.
     pub fn record(&self, rows: &[ServerChange], metrics: &ServingMetrics) {
-        let mut summed_up = 0;
-        let mut lines = 0;
+        let mut unlogged_rows = 0;
+        let mut logged_rows = 0;
         for row in rows {
             let ServerChange::Unusable { version, key, error } = row else {
                 continue;
@@ -34,21 +34,21 @@
                 continue;
             }
             metrics.unusable_rows.inc();
-            if lines == LINES {
-                summed_up += 1;
+            if logged_rows == MAX_LOGGED_ROWS {
+                unlogged_rows += 1;
                 continue;
             }
-            lines += 1;
+            logged_rows += 1;
             log::warn!(row:% = key, version, error; "row names no server to use");
         }
-        if summed_up > 0 {
-            log::warn!(rows = summed_up; "more rows name no server to use");
+        if unlogged_rows > 0 {
+            log::warn!(rows = unlogged_rows; "more rows name no server to use");
         }
     }
 
     fn is_new(&self, key: &ServerKey, version: u64) -> bool {
         let mut logged = self.logged.lock();
-        if logged.len() >= REMEMBERED {
+        if logged.len() >= MAX_REMEMBERED_ROWS {
             logged.clear();
         }
         logged.insert(key.clone(), version) != Some(version)
--- a/trackfrontd/tests/crash_outbox.rs
+++ b/trackfrontd/tests/crash_outbox.rs
@@ -33,7 +33,7 @@
 #[test]
 fn an_excuse_is_not_told_once_another_box_has() {
     let mut outbox = Outbox::default();
-    outbox.add_excuse(CAUSE, at(0));
+    outbox.add_clearance(CAUSE, at(0));
     outbox.record_received(CAUSE);
     assert!(outbox.take_due(at(1_000)).is_empty());
     outbox.add_report(CAUSE, true, at(2_000));
--- a/trackfrontd/tests/order_tracker.rs
+++ b/trackfrontd/tests/order_tracker.rs
@@ -60,14 +60,14 @@
 #[test]
 fn an_engine_that_may_get_orders_of_its_earlier_run_gets_no_others() {
     let terms = LoadTerms { window: Duration::from_secs(5), overage: 1.1 };
-    let mut book = OrderTracker::new(LoadPacer::new(terms, at(0)));
+    let mut tracker = OrderTracker::new(LoadPacer::new(terms, at(0)));
     let (first, second) = (run(100).entry, run(200).entry);
-    assert!(!book.may_receive_stale_order(&second, at(1_000)));
-    book.record_unanswered(&first, at(1_000));
+    assert!(!tracker.may_receive_stale_order(&second, at(1_000)));
+    tracker.record_unanswered(&first, at(1_000));
     assert!(
-        !book.may_receive_stale_order(&first, at(1_100)),
+        !tracker.may_receive_stale_order(&first, at(1_100)),
         "its count of orders guards that run"
     );
-    assert!(book.may_receive_stale_order(&second, at(15_900)));
-    assert!(!book.may_receive_stale_order(&second, at(16_000)));
+    assert!(tracker.may_receive_stale_order(&second, at(15_900)));
+    assert!(!tracker.may_receive_stale_order(&second, at(16_000)));
 }
