--- a/trackfrontd/src/serving/boxes.rs
+++ b/trackfrontd/src/serving/boxes.rs
@@ -21,7 +21,7 @@
 use super::delegates::{CapacityClass, ListedBox};
 use super::exchange;
 use super::messages::{BoxListUpdate, Message};
-use super::node::{ServingNode, short_zone};
+use super::node::{ServingNode, short_hall};
 use super::peer_socket::PeerSocket;
 
 /// The start of the keys of boxes' rows; the hall and the address follow.
@@ -91,12 +91,12 @@
 pub async fn list_boxes(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     let start = match node.settings.load().node.first_start {
         true => {
-            node.set_one_of_many();
+            node.set_prefers_snapshots();
             Start::New
         }
         false => join(&node).await,
     };
-    node.end_first_list();
+    node.finish_first_listing();
     if start == Start::New {
         write_until_there(&node).await;
     }
@@ -106,9 +106,9 @@
         Start::Returned { is_small: true } => sleep(SMALL_HALL_SPREAD.mul_f64(moment)).await,
         _ => {
             // The strongest list first, and tell the others.
-            let strength = node.settings.load().resources.strength();
+            let strength = node.settings.load().resources.capacity();
             let pause = FIRST_LIST + FIRST_LIST_SPREAD.mul_f64(moment) * strength.turn();
-            node.put_off_acting_alone(pause);
+            node.extend_discovery(pause);
             sleep(pause).await;
         }
     }
@@ -116,7 +116,7 @@
     let mut pauses = Pauses::default();
     loop {
         // What is known already, from the list at the start or from another box, is not listed now.
-        if is_known || node.was_told_of_boxes() {
+        if is_known || node.has_received_box_list() {
             let hall = node.peers.lock().hall_peers(node.is_store_lost(), node.now());
             sleep(if hall.is_reader() { LIST_EVERY } else { LIST_EVERY * OTHERS_WAIT }).await;
         }
@@ -131,7 +131,7 @@
                 let is_busy = matches!(error, TableError::RateLimited);
                 let pause = if is_busy { pauses.next() } else { LIST_AGAIN };
                 if is_busy {
-                    node.put_off_acting_alone(pause);
+                    node.extend_discovery(pause);
                 }
                 sleep(pause).await;
             }
@@ -162,7 +162,7 @@
             Written::Busy => {
                 // Many start at once, so this box is not alone.
                 let pause = pauses.next();
-                node.put_off_acting_alone(pause);
+                node.extend_discovery(pause);
                 sleep(pause).await;
             }
             Written::Failed => sleep(LIST_AGAIN).await,
@@ -184,7 +184,7 @@
     let has_own_row = rows.iter().any(|row| row.key == own);
     let is_small = rows.len() < NEIGHBOURS;
     if !is_small {
-        node.set_one_of_many();
+        node.set_prefers_snapshots();
     }
     let boxes: Vec<ListedBox> = rows.iter().filter_map(listed).collect();
     {
@@ -192,7 +192,7 @@
         boxes.iter().for_each(|one| peers.list(*one, node.now()));
     }
     // These may be asked for other copies at once; the list of all can take longer.
-    node.end_first_list();
+    node.finish_first_listing();
     let mut asked: Vec<Ipv4Addr> = boxes.iter().map(|one| one.ip).collect();
     asked.retain(|ip| *ip != node.settings.load().node.ip);
     asked.shuffle(&mut rand::rng());
@@ -226,12 +226,12 @@
 /// Waits for the list of boxes as long as it is worth it.
 pub async fn wait_for_list(node: &ServingNode) {
     if !node.settings.load().node.first_start {
-        let ended = node.first_list_ended();
+        let ended = node.first_listing_finished();
         // Without the list the box reads from the platform itself.
         let _ = timeout(LIST_TIME, ended).await;
         return;
     }
-    while !node.knows_nodes() && node.age() < START_TIME {
+    while !node.are_boxes_listed() && node.age() < START_TIME {
         sleep(LOOK_EVERY).await;
     }
 }
@@ -241,8 +241,8 @@
 pub async fn waits_for_copy(node: &ServingNode) -> bool {
     let age = node.age();
     let is_reader = node.peers.lock().hall_peers(node.is_store_lost(), node.now()).is_reader();
-    let must_read = is_reader && !node.is_alone_for_now();
-    if !node.is_one_of_many() || must_read || age >= START_TIME + COPY_TIME {
+    let must_read = is_reader && !node.is_discovering_peers();
+    if !node.prefers_snapshots() || must_read || age >= START_TIME + COPY_TIME {
         return false;
     }
     sleep(COPY_AGAIN).await;
@@ -277,10 +277,10 @@
     let mut peers = node.peers.lock();
     boxes.iter().for_each(|one| peers.list(*one, now));
     drop(peers);
-    if !node.was_told_of_boxes() {
+    if !node.has_received_box_list() {
         log::info!(boxes = boxes.len(); "boxes told of");
-        node.set_knows_nodes();
-        node.set_told_of_boxes();
+        node.set_boxes_listed();
+        node.set_box_list_received();
     }
     true
 }
@@ -300,9 +300,9 @@
     // A list from before this box wrote its row may lack others that start now as well. Taken for one of all, it made
     // three to six boxes of six read for their two halls in 9 of 112 starts; equal parts of limits go by it too.
     if has_own_row {
-        node.set_knows_nodes();
+        node.set_boxes_listed();
     }
-    node.tell_peers.notify_one();
+    node.digest_requested.notify_one();
     Ok(has_own_row)
 }
 
@@ -318,7 +318,7 @@
         log::warn!(row = row.key.0, error:% = error; "row of a box not understood");
         CapacityClass::default()
     });
-    Some(ListedBox { ip, hall: short_zone(&HallName::from(hall)), strength })
+    Some(ListedBox { ip, hall: short_hall(&HallName::from(hall)), capacity: strength })
 }
 
 /// Tells all boxes of the list which there are.
@@ -333,7 +333,7 @@
 }
 
 fn hall_prefix(node: &ServingNode) -> String {
-    format!("{ROW_PREFIX}{}/", node.settings.load().node.zone)
+    format!("{ROW_PREFIX}{}/", node.settings.load().node.hall)
 }
 
 fn row_key(node: &ServingNode) -> RowKey {
@@ -361,7 +361,7 @@
     // If the row is there already, an earlier process of this machine wrote it.
     let expect = Expect::Absent;
     let id = TxnId::from(draw_id("node", &mut rand::rng()));
-    let (name, strength) = (settings.node.name.clone(), settings.resources.strength());
+    let (name, strength) = (settings.node.name.clone(), settings.resources.capacity());
     let row = BoxRow { name, strength };
     let value = serde_json::to_vec(&row).expect("our own types always encode");
     let value = Some(Bytes::from(value));
--- a/trackfrontd/src/serving/cold.rs
+++ b/trackfrontd/src/serving/cold.rs
@@ -53,7 +53,7 @@
 pub async fn maintain_senders(node: Arc<ServingNode>) {
     loop {
         // A part of the boxes would make senders of too many.
-        if node.knows_nodes() {
+        if node.are_boxes_listed() {
             let me = node.settings.load().node.ip.to_bits();
             let others = node.peers.lock().all();
             node.cold.lock().set_boxes(me, others.into_iter().map(|ip| ip.to_bits()));
--- a/trackfrontd/src/serving/config_freshness.rs
+++ b/trackfrontd/src/serving/config_freshness.rs
@@ -118,7 +118,7 @@
 pub async fn track_config_freshness(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     let mut store = StoreCheck { node: node.clone(), fails: false };
     let mut was_usable = true;
-    let mut waking = node.wakings.follow();
+    let mut waking = node.suspensions.follow();
     loop {
         let needs_keys =
             node.config.load().as_ref().is_some_and(|config| config.accounts.is_some());
@@ -131,14 +131,15 @@
         waking.take();
         let began = node.now();
         let mates = hall_peers(&node);
-        let age = node.newest.age(began);
+        let age = node.config_freshness.age(began);
         log_change(&node, terms, age, &mut was_usable);
         ask(&node, &socket, terms, &mates, age).await;
         if must_ask_store(&node, terms, &mates, age) && waking.unless(store.check()).await.is_none()
         {
             continue;
         }
-        let is_late = node.newest.age(node.now()).is_none_or(|age| age >= terms.wider_after());
+        let is_late =
+            node.config_freshness.age(node.now()).is_none_or(|age| age >= terms.wider_after());
         let pause = if is_late { terms.ask_every() / HURRY } else { terms.ask_every() };
         // Asked again in any case, at once after a suspension.
         let _ = waking.unless(sleep(pause.saturating_sub(node.now().since(began)))).await;
@@ -178,7 +179,7 @@
     if boxes.is_empty() {
         return;
     }
-    let number = node.newest.questions.lock().ask(node.now());
+    let number = node.config_freshness.questions.lock().ask(node.now());
     socket.send(&Message::ConfigVersionRequest(ConfigVersionRequest { number }), &boxes).await;
 }
 
@@ -191,7 +192,7 @@
     age: Option<Duration>,
 ) -> bool {
     let is_late = age.is_none_or(|age| age >= terms.store_after());
-    let answered_at = node.newest.questions.lock().answered_at;
+    let answered_at = node.config_freshness.questions.lock().answered_at;
     let is_alone = answered_at.is_none_or(|at| node.now().since(at) >= terms.wider_after());
     mates.is_reader() || (is_late && (mates.rank == 1 || is_alone))
 }
@@ -215,9 +216,9 @@
                 }
                 self.fails = false;
                 match is_newest {
-                    true => node.newest.confirm(row, asked_at),
+                    true => node.config_freshness.confirm(row, asked_at),
                     // Whatever is newer has a larger version; it is read now, beside the feed.
-                    false => node.relayed.lock().note_config(row + 1, None),
+                    false => node.feed_state.lock().note_config(row + 1, None),
                 }
             }
             Err(error) => {
@@ -238,7 +239,7 @@
     ip: Ipv4Addr,
     question: ConfigVersionRequest,
 ) {
-    let Some(ConfirmedRow { row, age_ms }) = node.newest.known(node.now()) else {
+    let Some(ConfirmedRow { row, age_ms }) = node.config_freshness.known(node.now()) else {
         return;
     };
     let told = ConfigVersionReply { number: question.number, row, age_ms };
@@ -248,7 +249,7 @@
 /// Takes in the answer of another box.
 pub fn take_in(node: &ServingNode, ip: Ipv4Addr, told: ConfigVersionReply) {
     let asked_at = {
-        let mut questions = node.newest.questions.lock();
+        let mut questions = node.config_freshness.questions.lock();
         let asked_at = questions.asked_at(told.number);
         questions.answered_at = asked_at.map_or(questions.answered_at, |_| Some(node.now()));
         asked_at
@@ -256,9 +257,9 @@
     let Some(asked_at) = asked_at else {
         return;
     };
-    node.newest.told(ConfirmedRow { row: told.row, age_ms: told.age_ms }, asked_at);
+    node.config_freshness.told(ConfirmedRow { row: told.row, age_ms: told.age_ms }, asked_at);
     if told.row > node.config_row() {
-        node.relayed.lock().note_config(told.row, Some(ip));
-        node.relay_came.notify_waiters();
+        node.feed_state.lock().note_config(told.row, Some(ip));
+        node.feed_update_received.notify_waiters();
     }
 }
--- a/trackfrontd/src/serving/crashes/mod.rs
+++ b/trackfrontd/src/serving/crashes/mod.rs
@@ -124,7 +124,7 @@
     let id = &server.entry.id;
     // A server that leaves breaks off what it does not finish.
     let known = node.directory.lock().get(id).cloned();
-    if known.is_some_and(|known| !node.takes_new(&known)) {
+    if known.is_some_and(|known| !node.accepts_new(&known)) {
         return;
     }
     let now = node.now();
--- a/trackfrontd/src/serving/crashes/rows.rs
+++ b/trackfrontd/src/serving/crashes/rows.rs
@@ -48,7 +48,7 @@
 async fn load(node: &ServingNode) {
     boxes::wait_for_list(node).await;
     // A box that knows no other yet would take itself for the reader: of 90 boxes that start, 90 would read.
-    while node.is_alone_for_now() {
+    while node.is_discovering_peers() {
         sleep(ASK_INTERVAL).await;
     }
     for round in 0.. {
--- a/trackfrontd/src/serving/delegates.rs
+++ b/trackfrontd/src/serving/delegates.rs
@@ -60,13 +60,13 @@
     /// The short name of its hall.
     pub hall: u32,
     /// How much it can bear.
-    pub strength: CapacityClass,
+    pub capacity: CapacityClass,
 }
 
 impl ListedBox {
     /// The place in the order in which boxes do work for others.
     pub fn place(&self) -> (Reverse<CapacityClass>, Ipv4Addr) {
-        (Reverse(self.strength), self.ip)
+        (Reverse(self.capacity), self.ip)
     }
 }
 
--- a/trackfrontd/src/serving/feed_relay.rs
+++ b/trackfrontd/src/serving/feed_relay.rs
@@ -190,7 +190,7 @@
     row: u64,
     halls_are_news: bool,
 ) {
-    let is_news = row > node.relayed.lock().config_row();
+    let is_news = row > node.feed_state.lock().config_row();
     let Some(mates) = must_tell(node, FeedKind::Config, is_news || halls_are_news) else {
         return;
     };
@@ -198,7 +198,7 @@
         let (boxes, is_reader) = (mates.others.len(), mates.is_reader());
         log::info!(row, boxes, is_reader; "hall told of configuration");
     }
-    node.relayed.lock().note_config(row, None);
+    node.feed_state.lock().note_config(row, None);
     // Halls go first, as few know them anew where a configuration is fetched. They are told each time: what one
     // datagram lost, the next brings.
     let words = node.evacuations.lock().words();
@@ -234,7 +234,7 @@
     let now = node.now();
     let drain = node.settings.load().promises.drain();
     let silence = {
-        let mut relayed = node.relayed.lock();
+        let mut relayed = node.feed_state.lock();
         let silence = relayed.silence(kind, now);
         relayed.note(kind, now);
         silence
@@ -258,7 +258,7 @@
     let now = node.now();
     match relay {
         FeedUpdate::Config { row } => {
-            let mut relayed = node.relayed.lock();
+            let mut relayed = node.feed_state.lock();
             relayed.note(FeedKind::Config, now);
             relayed.note_config(row, Some(from_ip));
         }
@@ -274,7 +274,7 @@
             take_servers(node, from_ip, told, Duration::from_millis(lapses_ms));
         }
     }
-    node.relay_came.notify_waiters();
+    node.feed_update_received.notify_waiters();
 }
 
 fn take_servers(node: &ServingNode, from_ip: Ipv4Addr, told: ToldChanges, lapses: Duration) {
@@ -303,7 +303,7 @@
         log::info!(by:% = from_ip, from, to, known, changes = count, outcome; "told of servers");
     }
     follow::note_events(node, events.unwrap_or_default(), to, follow::Source::OtherBox);
-    let mut relayed = node.relayed.lock();
+    let mut relayed = node.feed_state.lock();
     relayed.note(FeedKind::Servers, now);
     if misses {
         relayed.servers_gap = Some(Gap { told_by: from_ip });
--- a/trackfrontd/src/serving/follow/config.rs
+++ b/trackfrontd/src/serving/follow/config.rs
@@ -40,7 +40,7 @@
             },
         };
         relay_operator(&node, &socket, node.config_row(), read.halls_are_news).await;
-        if node.relayed.lock().config_row() > node.config_row() && node.config_row() == known {
+        if node.feed_state.lock().config_row() > node.config_row() && node.config_row() == known {
             // The platform's answer is older than what the reader of the hall has seen.
             sleep(GATHER).await;
         }
@@ -51,7 +51,7 @@
 /// Takes the configuration of another box if it is newer. Returns whether it is.
 async fn take_copy(node: &Arc<ServingNode>, link: &Link) -> bool {
     let known = node.config_row();
-    let told_by = node.relayed.lock().config_from();
+    let told_by = node.feed_state.lock().config_from();
     let mut sources = link.sources(told_by);
     if sources.is_empty() && known == 0 {
         sources = boxes::likely_up(node);
@@ -67,7 +67,7 @@
     };
     take(node, stored);
     // Where one box has it, others were told of it.
-    node.relayed.lock().note_config(node.config_row(), None);
+    node.feed_state.lock().note_config(node.config_row(), None);
     node.config_row() > known
 }
 
@@ -93,7 +93,7 @@
                     OperatorWord::Config(stored) => {
                         let row = stored.row_version;
                         take(node, stored);
-                        node.newest.confirm(row, asked_at);
+                        node.config_freshness.confirm(row, asked_at);
                     }
                 }
             }
@@ -117,7 +117,7 @@
 ) {
     while !link.must_reread() {
         let known = node.config_row();
-        let is_behind = || node.relayed.lock().config_row() > known;
+        let is_behind = || node.feed_state.lock().config_row() > known;
         link.wait_for_reader(is_behind).await;
         if is_behind() || link.woke() {
             // The row itself is read: this box's place in the feed is old, perhaps forgotten.
@@ -200,7 +200,7 @@
             let (version, routes) = (config.version, config.routes().count());
             node.names.lock().set_items(&config);
             let names: HashSet<&str> = config.routes().map(|route| route.name.as_str()).collect();
-            node.returns.lock().retain(|route| names.contains(route));
+            node.refusal_retries.lock().retain(|route| names.contains(route));
             node.quotas.set_limits(quota::limits(&config));
             node.config.store(Some(Arc::new(config)));
             node.metrics.config_version.set(version as i64);
@@ -209,5 +209,5 @@
             in_force = true;
         }
     }
-    node.set_config_row(row, in_force);
+    node.record_config_row(row, in_force);
 }
--- a/trackfrontd/src/serving/follow/link.rs
+++ b/trackfrontd/src/serving/follow/link.rs
@@ -60,7 +60,7 @@
 impl Link {
     /// Makes one without failures.
     pub fn new(node: Arc<ServingNode>, kind: FeedKind) -> Self {
-        let waking = node.wakings.follow();
+        let waking = node.suspensions.follow();
         Self { node, kind, failures: 0, failing_since: None, waking }
     }
 
@@ -106,7 +106,7 @@
             return;
         }
         let longest = self.part_of_drain(MATE_PAUSE_PART);
-        let came = self.node.relay_came.notified();
+        let came = self.node.feed_update_received.notified();
         // Nothing is lost if the word does not come: the call is made again.
         let _ = timeout((FIRST_MATE_PAUSE * doubled).min(longest), came).await;
     }
@@ -157,9 +157,9 @@
     /// box has to read itself. `is_enough` says whether there is something to read after all.
     pub async fn wait_for_reader(&self, is_enough: impl Fn() -> bool) {
         loop {
-            let came = self.node.relay_came.notified();
+            let came = self.node.feed_update_received.notified();
             let mates = hall_peers(&self.node);
-            let reads = self.must_read(&mates) && !self.node.is_alone_for_now();
+            let reads = self.must_read(&mates) && !self.node.is_discovering_peers();
             if reads || is_enough() || self.waking.is_new() {
                 return;
             }
@@ -174,7 +174,7 @@
     }
 
     fn silence(&self) -> Option<Duration> {
-        self.node.relayed.lock().silence(self.kind, self.node.now())
+        self.node.feed_state.lock().silence(self.kind, self.node.now())
     }
 
     fn drain(&self) -> Duration {
--- a/trackfrontd/src/serving/follow/servers.rs
+++ b/trackfrontd/src/serving/follow/servers.rs
@@ -64,7 +64,7 @@
 /// Takes in what another box knows that this one does not. Returns whether there was something.
 async fn take_copy(node: &Arc<ServingNode>, link: &Link) -> bool {
     let known = node.directory.lock().newest();
-    let told_by = node.relayed.lock().take_gap();
+    let told_by = node.feed_state.lock().take_gap();
     let mut sources = link.sources(told_by);
     if sources.is_empty() && known == 0 {
         sources = boxes::likely_up(node);
@@ -78,7 +78,7 @@
         directory.update(copy.update, copy.version, node.now())
     };
     note_events(node, events, copy.version, Source::OtherBox);
-    node.relayed.lock().note(FeedKind::Servers, node.now());
+    node.feed_state.lock().note(FeedKind::Servers, node.now());
     node.set_knows_servers();
     true
 }
@@ -112,11 +112,11 @@
 /// Follows the feed until everything has to be read again.
 async fn follow_from(node: &Arc<ServingNode>, socket: &PeerSocket, link: &mut Link) {
     while !link.must_reread() {
-        link.wait_for_reader(|| node.relayed.lock().has_gap()).await;
+        link.wait_for_reader(|| node.feed_state.lock().has_gap()).await;
         if link.woke() {
             return;
         }
-        if node.relayed.lock().has_gap() && take_copy(node, link).await {
+        if node.feed_state.lock().has_gap() && take_copy(node, link).await {
             continue;
         }
         link.count("follow_servers");
--- a/trackfrontd/src/serving/gossip.rs
+++ b/trackfrontd/src/serving/gossip.rs
@@ -18,7 +18,7 @@
 
 use super::feed_relay as relay;
 use super::messages::{DemandReport, Digest, LeaseReport, Message, OverlayEntry, ServerLoadReport};
-use super::node::{ServingNode, short_item, short_server, short_zone};
+use super::node::{ServingNode, short_hall, short_item, short_server};
 use super::overlay::EntryKind;
 use super::peer_socket::{MAX_DATAGRAM, PeerSocket};
 use super::peer_tracker::{MIN_DIGEST_INTERVAL, PEER_TIMEOUT};
@@ -44,7 +44,7 @@
     gives_orders: Arc<HoldsOrderLease>,
 ) {
     let settings = node.settings.load_full();
-    let zone = short_zone(&settings.node.zone);
+    let zone = short_hall(&settings.node.hall);
     let mut round = 0u64;
     let mut urgent = false;
     let mut digest_due = Instant::now();
@@ -85,7 +85,7 @@
             false => URGENT_GAP,
         };
         let start = Instant::now();
-        urgent = timeout(gap, node.tell_peers.notified()).await.is_ok();
+        urgent = timeout(gap, node.digest_requested.notified()).await.is_ok();
         sleep_until(start + urgent_gap).await;
     }
 }
@@ -114,7 +114,7 @@
 
     /// Returns until when it may give orders, as other boxes are told.
     pub fn told_right(&self, now: Moment) -> Option<LeaseReport> {
-        LeaseReport::of((*self.1.lock())?, now)
+        LeaseReport::from_announcement((*self.1.lock())?, now)
     }
 }
 
@@ -131,22 +131,22 @@
     };
     let config = node.config.load().as_ref().map_or(0, |config| config.version);
     let (stopping, store_lost) = (node.is_stopping(), node.is_store_lost());
-    let strength = node.settings.load().resources.strength();
+    let strength = node.settings.load().resources.capacity();
     let giver = match gives_orders {
         true => None,
         false => node.peers.lock().told_giver(node.now()),
     };
     Digest {
-        zone,
-        strength,
-        config,
-        gives_orders,
+        hall: zone,
+        capacity: strength,
+        config_version: config,
+        holds_order_lease: gives_orders,
         stopping,
         store_lost,
-        right,
-        giver,
-        shares,
-        notes,
+        lease: right,
+        holder: giver,
+        server_loads: shares,
+        overlay_entries: notes,
     }
 }
 
@@ -166,7 +166,11 @@
     let adapter_use = node.adapter_use.lock();
     let in_use = adapter_use.own().map(|(server, item)| (short_server(server), short_item(item)));
     let lacks = lacks.iter().map(short_item).collect();
-    DemandReport { rates: own.iter().map(told).collect(), lacks, in_use: in_use.collect() }
+    DemandReport {
+        rates: own.iter().map(told).collect(),
+        missing_items: lacks,
+        in_use: in_use.collect(),
+    }
 }
 
 /// Hears the other nodes.
@@ -186,7 +190,7 @@
         let config = bincode::config::standard().with_limit::<DECODE_LIMIT>();
         match bincode::serde::decode_from_slice::<Message, _>(&buffer[..length], config) {
             Ok((Message::Digest(digest), _)) => {
-                pass_on(&node, &socket, ip, &digest.notes).await;
+                pass_on(&node, &socket, ip, &digest.overlay_entries).await;
                 take_in(&node, ip, digest);
             }
             Ok((Message::OverlayEntries(notes), _)) => take_notes(&node, &notes),
@@ -233,11 +237,11 @@
     });
     node.adapter_use.lock().apply_peer_report(ip.to_bits(), in_use.collect(), node.now());
     let lacks: Vec<ModelRef> =
-        told.lacks.iter().filter_map(|item| names.item(*item).cloned()).collect();
+        told.missing_items.iter().filter_map(|item| names.item(*item).cloned()).collect();
     drop(names);
     if !lacks.is_empty() {
         missing_items::answer(node, socket, ip, &lacks);
-        node.lacking.notify_one();
+        node.missing_item_added.notify_one();
     }
 }
 
@@ -246,12 +250,12 @@
     node.peers.lock().heard(ip, &digest, now);
     let names = node.names.lock();
     let shares = digest
-        .shares
+        .server_loads
         .iter()
-        .filter_map(|told| Some((names.server(told.server)?.clone(), told.share())));
+        .filter_map(|told| Some((names.server(told.server)?.clone(), told.in_flight())));
     node.loads.lock().apply_peer_report(ip.to_bits(), shares.collect(), now);
     drop(names);
-    take_notes(node, &digest.notes);
+    take_notes(node, &digest.overlay_entries);
 }
 
 fn take_notes(node: &ServingNode, notes: &[OverlayEntry]) {
--- a/trackfrontd/src/serving/lease.rs
+++ b/trackfrontd/src/serving/lease.rs
@@ -176,7 +176,7 @@
         if applied {
             // No order was given since the right was dropped, so the quiet time began then.
             self.giving.say(LeaseAnnouncement { version, ends_at: dropped_at });
-            self.node.tell_peers.notify_one();
+            self.node.digest_requested.notify_one();
         }
         log::info!(applied; "order lease given up");
     }
@@ -215,7 +215,7 @@
         log::info!(fence = fence.0, before; "order lease taken");
         self.vacant_since = None;
         self.giving.set(true);
-        self.node.tell_peers.notify_one();
+        self.node.digest_requested.notify_one();
         true
     }
 
--- a/trackfrontd/src/serving/messages.rs
+++ b/trackfrontd/src/serving/messages.rs
@@ -79,7 +79,7 @@
     /// The server's short name.
     pub server: u32,
     /// What it said.
-    pub said: NoticeKind,
+    pub kind: NoticeKind,
     /// How long ago it last did, in milliseconds.
     pub age_ms: u32,
 }
@@ -107,7 +107,7 @@
     /// Its limit in requests a second, as the box that asks knows it.
     pub per_s: f64,
     /// How long the box would wait for the turn, in milliseconds.
-    pub patience_ms: u32,
+    pub max_wait_ms: u32,
     /// Whether the first keeper did not answer.
     pub is_stand_in: bool,
 }
@@ -118,7 +118,7 @@
     /// The question that this answers.
     pub number: u32,
     /// Whether the box has the turn; else it comes too late.
-    pub is_given: bool,
+    pub is_granted: bool,
     /// In how many milliseconds it comes.
     pub wait_ms: u32,
 }
@@ -132,11 +132,11 @@
     /// Its address.
     pub ip: Ipv4Addr,
     /// Whether it gives orders, by its own word.
-    pub gives: bool,
+    pub holds_lease: bool,
     /// How many milliseconds ago it said so.
     pub age_ms: u32,
     /// Until when it may.
-    pub right: Option<LeaseReport>,
+    pub lease: Option<LeaseReport>,
 }
 
 /// A question for the newest row of the configuration.
@@ -161,25 +161,25 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
     /// The short name of the node's zone.
-    pub zone: u32,
+    pub hall: u32,
     /// How much the node can bear.
-    pub strength: CapacityClass,
+    pub capacity: CapacityClass,
     /// The version of the configuration in force.
-    pub config: u64,
+    pub config_version: u64,
     /// Whether the node holds the lease on orders.
-    pub gives_orders: bool,
+    pub holds_order_lease: bool,
     /// Whether the node is stopping.
     pub stopping: bool,
     /// Whether the platform's store last failed the node.
     pub store_lost: bool,
     /// Until when it may give orders, if it held the lease last.
-    pub right: Option<LeaseReport>,
+    pub lease: Option<LeaseReport>,
     /// Who gives orders, where that is another.
-    pub giver: Option<HolderReport>,
+    pub holder: Option<HolderReport>,
     /// Requests under way.
-    pub shares: Vec<ServerLoadReport>,
+    pub server_loads: Vec<ServerLoadReport>,
     /// What it did, if it gives orders.
-    pub notes: Vec<OverlayEntry>,
+    pub overlay_entries: Vec<OverlayEntry>,
 }
 
 /// What a node is asked for.
@@ -188,7 +188,7 @@
     /// Item, hundredths of requests a second, milliseconds of work a second.
     pub rates: Vec<(u32, u32, u32)>,
     /// Items that were asked for and that no engine holds.
-    pub lacks: Vec<u32>,
+    pub missing_items: Vec<u32>,
     /// Adapters that requests in progress use: server, item.
     pub in_use: Vec<(u32, u32)>,
 }
@@ -199,23 +199,23 @@
     /// The version of the row.
     pub version: u64,
     /// The milliseconds that are left; negative once they are over.
-    pub left_ms: i64,
+    pub remaining_ms: i64,
 }
 
 impl LeaseReport {
     /// Returns what is told of a right at `now`; `None` for one that was over long before any box started.
-    pub fn of(word: LeaseAnnouncement, now: Moment) -> Option<Self> {
+    pub fn from_announcement(word: LeaseAnnouncement, now: Moment) -> Option<Self> {
         let LeaseAnnouncement { version, ends_at } = word;
         let (left, over) = (ends_at.since(now).as_millis(), now.since(ends_at).as_millis());
         let left_ms = i64::try_from(left).ok()? - i64::try_from(over).ok()?;
-        Some(Self { version, left_ms })
+        Some(Self { version, remaining_ms: left_ms })
     }
 
     /// Returns the word as of the moment at which it came. It was said before, so the right ends no
     /// later than that.
-    pub fn word(self, now: Moment) -> LeaseAnnouncement {
-        let left = Duration::from_millis(self.left_ms.max(0).unsigned_abs());
-        let over = Duration::from_millis(self.left_ms.min(0).unsigned_abs());
+    pub fn announcement(self, now: Moment) -> LeaseAnnouncement {
+        let left = Duration::from_millis(self.remaining_ms.max(0).unsigned_abs());
+        let over = Duration::from_millis(self.remaining_ms.min(0).unsigned_abs());
         LeaseAnnouncement {
             version: self.version,
             ends_at: Moment((now + left).0.saturating_sub(over)),
@@ -259,7 +259,7 @@
     }
 
     /// Returns the share.
-    pub fn share(&self) -> InFlight {
+    pub fn in_flight(&self) -> InFlight {
         let mut share = InFlight::default();
         for told in &self.ranks {
             if let Some(rank) = share.by_rank.get_mut(usize::from(told.rank)) {
--- a/trackfrontd/src/serving/node.rs
+++ b/trackfrontd/src/serving/node.rs
@@ -87,7 +87,7 @@
     /// The configuration in force.
     pub config: ArcSwapOption<ServingConfig>,
     /// How new it is.
-    pub newest: ConfigFreshness,
+    pub config_freshness: ConfigFreshness,
     /// The servers.
     pub directory: Mutex<Directory>,
     /// The halls that the operator empties.
@@ -103,13 +103,13 @@
     /// Turns at servers that named a limit.
     pub permits: ServerPermits,
     /// Prompts that engines keep.
-    pub memory: Mutex<PrefixIndex>,
+    pub prompt_memory: Mutex<PrefixIndex>,
     /// The budget of retries.
-    pub budgets: Mutex<RetryBudgets>,
+    pub retry_budgets: Mutex<RetryBudgets>,
     /// What share of requests found no free server.
-    pub crowding: Mutex<Saturation>,
+    pub saturation: Mutex<Saturation>,
     /// Which requests come back after a refusal.
-    pub returns: Mutex<RefusalRetries>,
+    pub refusal_retries: Mutex<RefusalRetries>,
     /// The demand for models.
     pub demand: Mutex<DemandMeter>,
     /// The adapters that requests in progress use.
@@ -125,23 +125,23 @@
     /// The other nodes.
     pub peers: Mutex<PeerTracker>,
     /// What readers of this hall relay from the platform.
-    pub relayed: Mutex<FeedState>,
+    pub feed_state: Mutex<FeedState>,
     /// Rows of the platform that name no server.
     pub unusable_rows: UnusableRows,
     /// Copies that boxes give each other.
     pub exchange: Exchange,
     /// Told when something came from a reader.
-    pub relay_came: Notify,
+    pub feed_update_received: Notify,
     /// Told when the machine was suspended.
-    pub wakings: Suspensions,
+    pub suspensions: Suspensions,
     /// Short names of servers and items.
     pub names: Mutex<ShortNames>,
     /// Told when servers or notes have changed.
     pub servers_changed: Notify,
     /// Told when peers should hear of something at once.
-    pub tell_peers: Notify,
+    pub digest_requested: Notify,
     /// Told when something is asked for that no engine holds.
-    pub lacking: Notify,
+    pub missing_item_added: Notify,
     started: Moment,
     /// Until when a box that knows no other does not act alone.
     not_alone_until: Mutex<Moment>,
@@ -163,7 +163,7 @@
         let budgets = RetryBudgets::new(settings.promises.budget());
         let directory = Directory::new(settings.promises.heartbeat());
         let started = ports.clock.now();
-        let peers = Mutex::new(PeerTracker::new(settings.listed()));
+        let peers = Mutex::new(PeerTracker::new(settings.listed_box()));
         // Questions of an earlier process at this address had other numbers, those for turns as well.
         let quotas = Quotas::new(box_id(settings.node.ip), rand::random());
         Arc::new(Self {
@@ -172,7 +172,7 @@
             ports,
             metrics: ServingMetrics::default(),
             config: ArcSwapOption::empty(),
-            newest: ConfigFreshness::default(),
+            config_freshness: ConfigFreshness::default(),
             directory: Mutex::new(directory),
             evacuations: Mutex::default(),
             loads: Mutex::default(),
@@ -180,10 +180,10 @@
             notices: Mutex::default(),
             notice_outbox: NoticeOutbox::default(),
             permits: ServerPermits::new(rand::random()),
-            memory: Mutex::default(),
-            budgets: Mutex::new(budgets),
-            crowding: Mutex::default(),
-            returns: Mutex::default(),
+            prompt_memory: Mutex::default(),
+            retry_budgets: Mutex::new(budgets),
+            saturation: Mutex::default(),
+            refusal_retries: Mutex::default(),
             demand: Mutex::default(),
             adapter_use: Mutex::default(),
             missing_items: MissingItems::default(),
@@ -191,15 +191,15 @@
             quotas,
             crashes: Crashes::default(),
             peers,
-            relayed: Mutex::default(),
-            relay_came: Notify::new(),
-            wakings: Suspensions::default(),
+            feed_state: Mutex::default(),
+            feed_update_received: Notify::new(),
+            suspensions: Suspensions::default(),
             unusable_rows: UnusableRows::default(),
             exchange: Exchange::default(),
             names: Mutex::default(),
             servers_changed: Notify::new(),
-            tell_peers: Notify::new(),
-            lacking: Notify::new(),
+            digest_requested: Notify::new(),
+            missing_item_added: Notify::new(),
             started,
             not_alone_until: Mutex::new(started + ALONE_FOR),
             knows_servers: AtomicBool::new(false),
@@ -242,44 +242,44 @@
     }
 
     /// Notes that the other boxes were listed, all that start together among them.
-    pub fn set_knows_nodes(&self) {
+    pub fn set_boxes_listed(&self) {
         self.nodes_listed_at.lock().get_or_insert(self.now());
     }
 
     /// Returns whether all other boxes were listed.
-    pub fn knows_nodes(&self) -> bool {
+    pub fn are_boxes_listed(&self) -> bool {
         self.nodes_listed_at.lock().is_some()
     }
 
     /// Notes that the first attempt to list the other boxes is over, whatever came of it.
-    pub fn end_first_list(&self) {
+    pub fn finish_first_listing(&self) {
         self.first_list_over.send_replace(true);
     }
 
     /// Waits for the end of the first attempt to list the other boxes.
-    pub async fn first_list_ended(&self) {
+    pub async fn first_listing_finished(&self) {
         let mut over = self.first_list_over.subscribe();
         // The sender lives as long as this node, so the wait cannot fail.
         let _ = over.wait_for(|over| *over).await;
     }
 
     /// Notes that another box told of all.
-    pub fn set_told_of_boxes(&self) {
+    pub fn set_box_list_received(&self) {
         self.told_of_boxes.store(true, Ordering::Relaxed);
     }
 
     /// Returns whether another box told of all, this one among them.
-    pub fn was_told_of_boxes(&self) -> bool {
+    pub fn has_received_box_list(&self) -> bool {
         self.told_of_boxes.load(Ordering::Relaxed)
     }
 
     /// Notes that others start with this box, or are so many that it takes from them what it lacks.
-    pub fn set_one_of_many(&self) {
+    pub fn set_prefers_snapshots(&self) {
         self.is_one_of_many.store(true, Ordering::Relaxed);
     }
 
     /// Returns whether this box should have what it lacks from others, though they may not have it yet.
-    pub fn is_one_of_many(&self) -> bool {
+    pub fn prefers_snapshots(&self) -> bool {
         self.is_one_of_many.load(Ordering::Relaxed)
     }
 
@@ -294,24 +294,24 @@
     }
 
     /// Notes a row of the configuration, and whether it is in force.
-    pub fn set_config_row(&self, row: u64, in_force: bool) {
+    pub fn record_config_row(&self, row: u64, in_force: bool) {
         self.config_row.fetch_max(row, Ordering::Relaxed);
         if in_force {
             self.config_row_in_force.fetch_max(row, Ordering::Relaxed);
-            self.newest.in_force(row);
+            self.config_freshness.in_force(row);
         }
     }
 
     /// Returns whether the box can tell at `now` that the keys in force are good. Asked before the accounts are looked
     /// at, since those that are put in force meanwhile are newer.
-    pub fn knows_keys(&self, now: Moment) -> bool {
+    pub fn has_current_keys(&self, now: Moment) -> bool {
         let terms = self.settings.load().promises.keys();
-        terms.is_none_or(|terms| self.newest.is_usable(terms, now))
+        terms.is_none_or(|terms| self.config_freshness.is_usable(terms, now))
     }
 
     /// Returns whether the node has just started and does not know the others yet. What one node
     /// does for all is not begun then, or every node of a deployment that starts would do it.
-    pub fn is_alone_for_now(&self) -> bool {
+    pub fn is_discovering_peers(&self) -> bool {
         let now = self.now();
         let listed_at = *self.nodes_listed_at.lock();
         let is_listed = listed_at.is_some_and(|at| now.since(at) >= HEARD_AFTER);
@@ -319,7 +319,7 @@
     }
 
     /// Notes that for so long it will not be known whether there are others.
-    pub fn put_off_acting_alone(&self, span: Duration) {
+    pub fn extend_discovery(&self, span: Duration) {
         *self.not_alone_until.lock() = self.now() + span + ALONE_FOR;
     }
 
@@ -342,10 +342,10 @@
     }
 
     /// Notes that an item is asked for that no engine holds, and has the holder of the lease told.
-    pub fn note_lack(&self, item: &ModelRef) {
+    pub fn add_missing_item(&self, item: &ModelRef) {
         self.missing_items.record(item);
-        self.lacking.notify_one();
-        self.tell_peers.notify_one();
+        self.missing_item_added.notify_one();
+        self.digest_requested.notify_one();
     }
 
     /// Returns whether the node was told to stop.
@@ -361,7 +361,7 @@
     }
 
     /// Returns whether a server takes new requests, by its row and by its own word.
-    pub fn takes_new(&self, server: &KnownServer) -> bool {
+    pub fn accepts_new(&self, server: &KnownServer) -> bool {
         server.is_ready() && self.notices.lock().leaving_since(&server.entry.id).is_none()
     }
 
@@ -434,7 +434,7 @@
 }
 
 /// Returns a zone's short name.
-pub fn short_zone(zone: &HallName) -> u32 {
+pub fn short_hall(zone: &HallName) -> u32 {
     short(zone.as_str().as_bytes())
 }
 
--- a/trackfrontd/src/serving/notices/broadcast.rs
+++ b/trackfrontd/src/serving/notices/broadcast.rs
@@ -88,7 +88,7 @@
         };
         let age = Duration::from_millis(u64::from(notice.age_ms));
         let at = Moment(now.0.saturating_sub(age));
-        let learned = match notice.said {
+        let learned = match notice.kind {
             NoticeKind::Cold(ms) => {
                 record_cold(node, &server, Duration::from_millis(u64::from(ms)), by);
                 None
@@ -155,8 +155,11 @@
     server: &BackendId,
     now: Moment,
 ) -> Vec<NoticeRecord> {
-    let told =
-        |said, at| NoticeRecord { server: short_server(server), said, age_ms: age_ms(at, now) };
+    let told = |said, at| NoticeRecord {
+        server: short_server(server),
+        kind: said,
+        age_ms: age_ms(at, now),
+    };
     let limit = tracker.known_limit(server).map(|KnownLimit { per_s, at, .. }| match per_s {
         Some(per_s) => told(NoticeKind::Limit(per_s), at),
         None => told(NoticeKind::LimitOver, at),
--- a/trackfrontd/src/serving/order_holder.rs
+++ b/trackfrontd/src/serving/order_holder.rs
@@ -40,14 +40,14 @@
 
     /// Notes what another box, not the giver itself, told `me` of it.
     pub fn apply_report(&mut self, told: &HolderReport, me: Ipv4Addr, now: Moment) {
-        let right = told.right.map(|right| right.word(now));
+        let right = told.lease.map(|right| right.announcement(now));
         let known = self.relayed_announcement.map_or(0, |right| right.version);
         self.relayed_announcement =
             right.filter(|right| right.version > known).or(self.relayed_announcement);
         let at = Moment(now.0.saturating_sub(Duration::from_millis(u64::from(told.age_ms))));
         let is_newer = self.last.is_none_or(|last| at > last.at);
         if told.ip != me && is_newer {
-            self.last = Some(Report { ip: told.ip, gives: told.gives, at, is_relayed: true });
+            self.last = Some(Report { ip: told.ip, gives: told.holds_lease, at, is_relayed: true });
         }
     }
 
@@ -60,9 +60,9 @@
         let last = self.last.filter(|last| now.since(last.at) < RELAYED_ALIVE_FOR)?;
         let announcements = right(last.ip).into_iter().chain(self.relayed_announcement);
         let right = announcements.max_by_key(|right| right.version);
-        let right = right.and_then(|right| LeaseReport::of(right, now));
+        let right = right.and_then(|right| LeaseReport::from_announcement(right, now));
         let age_ms = u32::try_from(now.since(last.at).as_millis()).unwrap_or(u32::MAX);
-        Some(HolderReport { ip: last.ip, gives: last.gives, age_ms, right })
+        Some(HolderReport { ip: last.ip, holds_lease: last.gives, age_ms, lease: right })
     }
 
     /// Returns the box that gives orders, if it lives by all that was heard.
--- a/trackfrontd/src/serving/order_task.rs
+++ b/trackfrontd/src/serving/order_task.rs
@@ -119,7 +119,7 @@
             engine_orders.rest_until = now + REST_AFTER_FAULT;
         }
         drop(tracker);
-        self.node.lacking.notify_one();
+        self.node.missing_item_added.notify_one();
     }
 
     fn id(&self) -> &BackendId {
@@ -160,7 +160,7 @@
         }
         drop(overlay);
         self.node.servers_changed.notify_waiters();
-        self.node.tell_peers.notify_one();
+        self.node.digest_requested.notify_one();
     }
 
     /// Gives the orders one after the other, as far as the engine takes them.
--- a/trackfrontd/src/serving/peer_tracker.rs
+++ b/trackfrontd/src/serving/peer_tracker.rs
@@ -176,13 +176,13 @@
 
     /// Learns that a box is alive.
     pub fn heard(&mut self, ip: Ipv4Addr, digest: &Digest, now: Moment) {
-        let peer = self.put(ListedBox { ip, hall: digest.zone, strength: digest.strength }, now);
+        let peer = self.put(ListedBox { ip, hall: digest.hall, capacity: digest.capacity }, now);
         peer.heard = Some(now);
         peer.is_missing = false;
         peer.store_lost = digest.store_lost;
-        peer.word = digest.right.map(|right| right.word(now)).or(peer.word);
-        self.giver.receive(ip, digest.gives_orders, now);
-        if let Some(told) = &digest.giver {
+        peer.word = digest.lease.map(|right| right.announcement(now)).or(peer.word);
+        self.giver.receive(ip, digest.holds_order_lease, now);
+        if let Some(told) = &digest.holder {
             self.giver.apply_report(told, self.me.ip, now);
         }
     }
--- a/trackfrontd/src/serving/permits.rs
+++ b/trackfrontd/src/serving/permits.rs
@@ -98,7 +98,8 @@
     let asked = node.now();
     let short_name = short_server(server);
     // With a part of the boxes this one would take itself for the keeper.
-    let coordinator = node.knows_nodes().then(|| coordinator(node, short_name, asked)).flatten();
+    let coordinator =
+        node.are_boxes_listed().then(|| coordinator(node, short_name, asked)).flatten();
     let Some(coordinator) = coordinator else {
         node.permits.gates.lock().close_without_coordinator(server, asked);
         return None;
@@ -107,7 +108,7 @@
         number: node.permits.last_number.fetch_add(1, Ordering::Relaxed),
         server: short_name,
         per_s,
-        patience_ms: u32::try_from(max_wait.as_millis()).unwrap_or(u32::MAX),
+        max_wait_ms: u32::try_from(max_wait.as_millis()).unwrap_or(u32::MAX),
         is_stand_in: coordinator.is_standby,
     };
     let me = node.settings.load().node.ip;
@@ -167,7 +168,7 @@
 
 /// Answers another box, unless this one does not know which there are.
 pub fn answer(node: &ServingNode, socket: &PeerSocket, from: Ipv4Addr, ask: &PermitRequest) {
-    if !node.knows_nodes() || !ask.per_s.is_finite() {
+    if !node.are_boxes_listed() || !ask.per_s.is_finite() {
         return;
     }
     let (is_given, wait) = match issue(node, ask) {
@@ -176,7 +177,7 @@
     };
     let wait_ms = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
     socket.send_now(
-        &Message::PermitReply(PermitReply { number: ask.number, is_given, wait_ms }),
+        &Message::PermitReply(PermitReply { number: ask.number, is_granted: is_given, wait_ms }),
         from,
     );
 }
@@ -191,7 +192,7 @@
         (peers.reachable(now).len() + 1, peers.sharing(now))
     };
     let per_s = coordinator_rate(known.unwrap_or(ask.per_s), reached, all, ask.is_stand_in);
-    let max_wait = Duration::from_millis(u64::from(ask.patience_ms));
+    let max_wait = Duration::from_millis(u64::from(ask.max_wait_ms));
     node.permits.issuer.lock().request(ask.server, per_s, max_wait, now)
 }
 
@@ -202,7 +203,7 @@
     };
     let wait = Duration::from_millis(u64::from(told.wait_ms));
     let answer =
-        if told.is_given { PermitAnswer::GrantedIn(wait) } else { PermitAnswer::NotBefore(wait) };
+        if told.is_granted { PermitAnswer::GrantedIn(wait) } else { PermitAnswer::NotBefore(wait) };
     // Its request may have left in this moment.
     let _ = tell.send(answer);
 }
--- a/trackfrontd/src/serving/pipeline/admission.rs
+++ b/trackfrontd/src/serving/pipeline/admission.rs
@@ -80,6 +80,6 @@
 
     /// Counts whether there was a free server for the request when it came.
     fn count_saturation(&self, refused: bool) {
-        self.node.crowding.lock().count(&self.service, refused, self.node.now());
+        self.node.saturation.lock().count(&self.service, refused, self.node.now());
     }
 }
--- a/trackfrontd/src/serving/pipeline/attempt.rs
+++ b/trackfrontd/src/serving/pipeline/attempt.rs
@@ -312,7 +312,7 @@
         let mut counted = node.loads.lock().begin(id, slots, model, work, now);
         counted.expect(choice.estimate);
         if !self.prefixes.is_empty() {
-            node.memory.lock().record_prefill(&self.prefixes, id, now);
+            node.prompt_memory.lock().record_prefill(&self.prefixes, id, now);
         }
         let item = self.info.model.clone();
         if let Some(item) = &item {
@@ -334,7 +334,7 @@
         let now = self.node.now();
         let age = |moment: Moment| now.since(moment).as_millis() as u64;
         let list = self.node.directory.lock().newest();
-        let heard = self.node.relayed.lock().silence(FeedKind::Servers, now);
+        let heard = self.node.feed_state.lock().silence(FeedKind::Servers, now);
         log::info!(
             request:% = self.info.id,
             fingerprint:% = self.fingerprint,
--- a/trackfrontd/src/serving/pipeline/choice.rs
+++ b/trackfrontd/src/serving/pipeline/choice.rs
@@ -36,7 +36,7 @@
             prefixes: &self.prefixes,
             rank: self.rank,
             tried,
-            hall: &settings.node.zone,
+            hall: &settings.node.hall,
             places: self.places(&evacuations, &settings),
             drain_grace: node.drain_grace(),
             drain_end: node.drain_end(),
@@ -57,7 +57,7 @@
             gates: heed_gates.then_some(&*gates),
             now: query.now,
         };
-        let memory = node.memory.lock();
+        let memory = node.prompt_memory.lock();
         let all = directory.of_service(&self.service);
         let is_candidate = |known: &&Arc<KnownServer>| known.entry.service == self.service;
         let knows_loads = node.peers.lock().is_small_fleet();
--- a/trackfrontd/src/serving/pipeline/hold.rs
+++ b/trackfrontd/src/serving/pipeline/hold.rs
@@ -50,7 +50,7 @@
                 Err(no_choice) => no_choice,
             };
             if let Some(item) = self.missing_item(no_choice) {
-                self.node.note_lack(&item);
+                self.node.add_missing_item(&item);
             }
             // Another server that is tried after a failure is not waited for. Nor does a box hold what
             // it could not answer before it ends: its client finds another.
--- a/trackfrontd/src/serving/pipeline/key.rs
+++ b/trackfrontd/src/serving/pipeline/key.rs
@@ -22,7 +22,7 @@
     route: &Route,
     info: &RequestInfo,
 ) -> Result<Option<Arc<ClientAccount>>, Refusal> {
-    let knows_keys = node.knows_keys(node.now());
+    let knows_keys = node.has_current_keys(node.now());
     let config = node.config.load();
     let config = config.as_ref().ok_or(Refusal::NotReady { retry_after: STARTING_RETRY_AFTER })?;
     match holder(config, route, info) {
@@ -44,7 +44,7 @@
 /// it has lasted.
 fn not_current(node: &ServingNode) -> Refusal {
     let terms = node.settings.load().promises.keys();
-    let silent = node.newest.age(node.now()).zip(terms);
+    let silent = node.config_freshness.age(node.now()).zip(terms);
     let silent = silent.map(|(age, terms)| age.saturating_sub(terms.usable_for()));
     let (least, most) = NOT_CURRENT_RETRY_AFTER;
     Refusal::NotCurrent { retry_after: silent.unwrap_or(STARTING_RETRY_AFTER).clamp(least, most) }
@@ -57,7 +57,7 @@
         let Some(account) = &self.account else {
             return true;
         };
-        if !self.node.knows_keys(now) {
+        if !self.node.has_current_keys(now) {
             return false;
         }
         let config = self.node.config.load();
@@ -73,7 +73,7 @@
         }
         Some(match attempts.may_have_run {
             Some(cause) => Refusal::Failed(cause),
-            None if self.node.knows_keys(now) => Refusal::UnknownKey,
+            None if self.node.has_current_keys(now) => Refusal::UnknownKey,
             None => not_current(&self.node),
         })
     }
--- a/trackfrontd/src/serving/pipeline/mod.rs
+++ b/trackfrontd/src/serving/pipeline/mod.rs
@@ -165,9 +165,9 @@
         ReadBodyError::TooSlow => Refusal::TooSlow,
         ReadBodyError::Broken(cause) => Refusal::Bad(cause),
     })?;
-    let since_first_try = info
-        .deadline
-        .map_or(Duration::ZERO, |left| node.returns.lock().record(&route.name, left, node.now()));
+    let since_first_try = info.deadline.map_or(Duration::ZERO, |left| {
+        node.refusal_retries.lock().record(&route.name, left, node.now())
+    });
     let service = route.service_for(short_hash(info.id.as_str())).clone();
     let prefixes = info.model.as_ref().map_or_else(Vec::new, |item| prefixes(item, &info.prompt));
     let fingerprint = fingerprint(&head, account.as_deref(), &body);
@@ -209,7 +209,7 @@
 fn count_demand(job: &Job) {
     let node = &job.node;
     let now = node.now();
-    node.budgets.lock().count(&job.service, now);
+    node.retry_budgets.lock().count(&job.service, now);
     let engine = job.config.services.get(&job.service).and_then(|spec| spec.engine.as_ref());
     if let (Some(item), Some(engine)) = (&job.info.model, engine) {
         let loads = node.loads.lock();
@@ -344,7 +344,7 @@
     pub fn take_retry(&self) -> bool {
         let now = self.node.now();
         let nodes = self.node.peers.lock().sharing(now);
-        self.node.budgets.lock().try_take(&self.service, nodes, now)
+        self.node.retry_budgets.lock().try_take(&self.service, nodes, now)
     }
 
     /// Returns the present moment on the line of this request's times, which counts suspensions of the machine: timers
--- a/trackfrontd/src/serving/pipeline/retry_after.rs
+++ b/trackfrontd/src/serving/pipeline/retry_after.rs
@@ -57,7 +57,7 @@
 
     /// Returns when to come back if the next free slot is `wait` away.
     pub fn retry_after_wait(&self, wait: Duration) -> Duration {
-        let share = self.node.crowding.lock().refused_fraction(&self.service, self.node.now());
+        let share = self.node.saturation.lock().refused_fraction(&self.service, self.node.now());
         self.spread(wait.max(MIN_RETRY_AFTER) + SATURATION_EXTRA_WAIT.mul_f64(share))
     }
 
@@ -68,7 +68,7 @@
         let model = engine.models.get(&self.info.model.as_ref()?.model)?;
         let directory = self.node.directory.lock();
         let all = directory.of_service(&self.service).iter();
-        let ready = all.filter(|server| self.node.takes_new(server));
+        let ready = all.filter(|server| self.node.accepts_new(server));
         let from = ready.map(|server| {
             let entry = &server.entry;
             model.load_time_with(&entry.in_memory, &entry.on_disk)
--- a/trackfrontd/src/serving/placement.rs
+++ b/trackfrontd/src/serving/placement.rs
@@ -80,7 +80,7 @@
     /// Plans and gives orders until the node stops, then gives the lease up.
     pub async fn run(mut self) {
         while !self.node.is_stopping() {
-            let lacking = self.node.lacking.notified();
+            let lacking = self.node.missing_item_added.notified();
             let _ = timeout(ROUND_INTERVAL, lacking).await;
             let pause = (self.planning_time * PAUSE_PER_PLANNING_TIME).min(MAX_PAUSE);
             sleep(MIN_ROUND_GAP.max(pause)).await;
@@ -104,7 +104,7 @@
         if placed.is_empty() {
             return;
         }
-        if self.node.is_alone_for_now() || !self.knows_engines(&placed) {
+        if self.node.is_discovering_peers() || !self.knows_engines(&placed) {
             return;
         }
         let was_holder = self.lease.is_holder();
@@ -150,7 +150,7 @@
         let evacuations = self.node.evacuations.lock();
         // Nothing is sent to servers of a hall that is emptied, so what they hold is missing.
         let is_used = |server: &&Arc<KnownServer>| {
-            self.node.takes_new(server) && !evacuations.is_evacuated(&server.entry.zone)
+            self.node.accepts_new(server) && !evacuations.is_evacuated(&server.entry.zone)
         };
         let used: Vec<&Arc<KnownServer>> = servers.iter().filter(is_used).collect();
         let demand = self.node.demand.lock().total(now);
--- a/trackfrontd/src/serving/quota.rs
+++ b/trackfrontd/src/serving/quota.rs
@@ -32,7 +32,7 @@
         if node.quotas.has_limits() {
             // Until its limits know that all boxes are known, a box refuses what has a limit. Looked at once a second
             // only, that took up to 1 s longer than it need, in more than half of the starts eight at a time.
-            let knows_all_boxes = node.knows_nodes();
+            let knows_all_boxes = node.are_boxes_listed();
             let learned_all = knows_all_boxes && !knew_all_boxes;
             if learned_all || boxes_set_at.is_none_or(|at| now.since(at) >= BOXES_INTERVAL) {
                 set_boxes(&node, now);
@@ -50,7 +50,7 @@
 fn set_boxes(node: &ServingNode, now: Moment) {
     let peers = node.peers.lock();
     let others: Vec<BoxId> = peers.reachable(now).iter().map(|ip| box_id(*ip)).collect();
-    let sharing = node.knows_nodes().then(|| peers.sharing(now));
+    let sharing = node.are_boxes_listed().then(|| peers.sharing(now));
     drop(peers);
     node.quotas.set_boxes(&others, sharing);
 }
--- a/trackfrontd/src/serving/run.rs
+++ b/trackfrontd/src/serving/run.rs
@@ -118,7 +118,7 @@
 
 fn log_start(node: &ServingNode) {
     let settings = node.settings.load();
-    let (name, zone) = (&settings.node.name, &settings.node.zone);
+    let (name, zone) = (&settings.node.name, &settings.node.hall);
     let version = env!("CARGO_PKG_VERSION");
     log::info!(name, zone:%, version, clients:% = settings.listen.clients; "started");
 }
@@ -135,8 +135,8 @@
     let in_flight = node.metrics.in_flight.get();
     log::info!(in_flight, grace_ms = grace.as_millis() as u64; "stopping");
     node.set_stopping();
-    node.tell_peers.notify_one();
-    node.lacking.notify_one();
+    node.digest_requested.notify_one();
+    node.missing_item_added.notify_one();
     let leave = LEAVE_TIME.min(grace / 3);
     sleep(leave).await;
     stop_clients.send_replace(true);
@@ -191,7 +191,7 @@
             log::warn!("addresses changed in the settings; they count from the next start");
         }
         if changed {
-            node.budgets.lock().set_terms(settings.promises.budget());
+            node.retry_budgets.lock().set_terms(settings.promises.budget());
             node.settings.store(Arc::new(settings));
         }
         if changed || signalled {
--- a/trackfrontd/src/serving/settings.rs
+++ b/trackfrontd/src/serving/settings.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::delegates::{CapacityClass, ListedBox};
-use super::node::short_zone;
+use super::node::short_hall;
 use serde::Deserialize;
 use thiserror::Error;
 use trackfront_core::ids::{HallName, RegionName};
@@ -65,7 +65,8 @@
     /// The address that other nodes reach it at.
     pub ip: Ipv4Addr,
     /// The zone.
-    pub zone: HallName,
+    #[serde(rename = "zone")]
+    pub hall: HallName,
     /// The region.
     pub region: RegionName,
     /// Whether the whole system starts for the first time: no other box is up yet.
@@ -116,7 +117,7 @@
 
 impl ResourceSettings {
     /// Returns how much the node can bear, which decides what it does for others.
-    pub fn strength(&self) -> CapacityClass {
+    pub fn capacity(&self) -> CapacityClass {
         CapacityClass::new(self.cpu_share, self.link_mbps, self.memory_mb)
     }
 }
@@ -258,9 +259,9 @@
 
 impl ServingSettings {
     /// Returns the node as it is listed among the others.
-    pub fn listed(&self) -> ListedBox {
-        let hall = short_zone(&self.node.zone);
-        ListedBox { ip: self.node.ip, hall, strength: self.resources.strength() }
+    pub fn listed_box(&self) -> ListedBox {
+        let hall = short_hall(&self.node.hall);
+        ListedBox { ip: self.node.ip, hall, capacity: self.resources.capacity() }
     }
 
     /// Reads and checks a settings file.
--- a/trackfrontd/src/serving/suspension.rs
+++ b/trackfrontd/src/serving/suspension.rs
@@ -82,5 +82,5 @@
     node.pool.close_idle(Duration::ZERO);
     node.ports.knowledge.forget_connections();
     node.exchange.forget_connections();
-    node.wakings.note();
+    node.suspensions.note();
 }
--- a/trackfrontd/tests/fleet.rs
+++ b/trackfrontd/tests/fleet.rs
@@ -51,7 +51,7 @@
         true => CapacityClass::new(1.0, 1_000.0, 1_024.0),
         false => CapacityClass::new(0.12, 20.0, 160.0),
     };
-    ListedBox { ip: ip(index), hall: index % HALLS, strength }
+    ListedBox { ip: ip(index), hall: index % HALLS, capacity: strength }
 }
 
 struct Fleet {
@@ -115,8 +115,14 @@
             self.due_ms[index] = self.now_ms + book.gap(told.len()).as_millis() as u64;
             let gives_orders = self.giver == Some(index);
             let giver = if gives_orders { None } else { book.told_giver(now) };
-            let (zone, strength) = (place.hall, place.strength);
-            let digest = Digest { zone, strength, gives_orders, giver, ..Digest::default() };
+            let (zone, strength) = (place.hall, place.capacity);
+            let digest = Digest {
+                hall: zone,
+                capacity: strength,
+                holds_order_lease: gives_orders,
+                holder: giver,
+                ..Digest::default()
+            };
             let message = Message::Digest(digest.clone());
             let config = bincode::config::standard();
             let length = bincode::serde::encode_to_vec(&message, config).expect("encodes").len();
--- a/trackfrontd/tests/messages.rs
+++ b/trackfrontd/tests/messages.rs
@@ -19,7 +19,7 @@
             decode_ms: u32::MAX,
         })
         .collect();
-    let share = ServerLoadReport { server: 1, ranks }.share();
+    let share = ServerLoadReport { server: 1, ranks }.in_flight();
     assert!(share.requests() < u32::MAX / 1_000, "a thousand boxes may tell that");
 }
 
