--- a/trackfrontd/src/serving/pipeline/admission.rs
+++ b/trackfrontd/src/serving/pipeline/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request is sent to the server that was chosen, or refused.
+//! Decides whether a request is sent to the chosen server or refused.
 
 use std::time::Duration;
 
@@ -8,25 +8,29 @@
 
 use super::{Attempts, Job};
 
-/// How likely an answer has to be in time for its request to be let in: what is more likely late than in
-/// time would make those behind it late as well, and its client does better later.
+/// The minimum probability of an answer in time for a request to be admitted. A request that is
+/// more likely to be late would also delay those queued behind it, and its client is better off
+/// retrying later.
 const MIN_CHANCE_IN_TIME: f64 = 0.5;
 
-/// The part of the target within which an answer has to be likely so that a request is let in whose client was
-/// refused before and is late already. In four pairs of days of 90 boxes with bursts 4 to 12 in 100 more of the plain
-/// calls that are owed are answered in time and 2 to 4 in 100 more of the streams with a target under a second; those
-/// with 6 s change by -0.4 to 0.9. Its price: of the calls that may run once 0.3 to 4 in 100 more go without an
-/// answer, of all requests -0.5 to 1.3. With a part of 0.2 more go without.
+/// The share of the target within which an answer must be likely for a retried request that is
+/// already late. In four pairs of days of 90 boxes with bursts, 4 to 12 in 100 more of
+/// the owed plain calls were answered in time, and 2 to 4 in 100 more of the streams with a target
+/// under a second; streams with a target of 6 s changed by -0.4 to 0.9 in 100. The cost: 0.3 to 4
+/// in 100 more of the calls that may run only once got no answer, and of all requests -0.5 to 1.3
+/// in 100. At a share of 0.2, more got no answer.
 const RETRY_TARGET_SHARE: f64 = 0.4;
 
 impl Job {
-    /// Refuses what is not likely to be answered in time, and sends once more only as the budget allows.
+    /// Refuses a request that is unlikely to be answered in time, and a retry that the retry budget
+    /// doesn't allow.
     pub(super) fn check_choice(&self, choice: &Choice, attempts: &mut Attempts) -> Option<Refusal> {
         let now = self.request_time();
         if now >= self.answer_by {
             return Some(self.give_up(attempts, "its time ran out"));
         }
-        // What may have run is tried again as long as there is time: its client cannot.
+        // A request that may have run is retried as long as there is time, since its client cannot
+        // retry it.
         let has_not_run = attempts.may_have_run.is_none() && attempts.failure.is_none();
         if has_not_run && !self.is_likely_in_time(choice, now) {
             self.count_saturation(true);
@@ -47,8 +51,8 @@
         None
     }
 
-    /// Returns whether the answer of the server that was chosen is more likely in time than late, by how
-    /// far off estimates were lately.
+    /// Returns whether the chosen server is more likely than not to answer in time, by the errors
+    /// of recent estimates.
     fn is_likely_in_time(&self, choice: &Choice, now: Instant) -> bool {
         let left = self.admission_time(now).min(self.answer_by - now);
         let has_slot = choice.requests < choice.server.entry.slots;
@@ -57,8 +61,9 @@
             >= MIN_CHANCE_IN_TIME
     }
 
-    /// Returns the time within which an answer has to be likely: what is left of the target since the client
-    /// first tried, or for one that is late already a part of it, which keeps the rest for first tries.
+    /// Returns the time within which an answer must be likely: what is left of the target since the
+    /// client's first try. A request that is already late gets a share of the target, so that the
+    /// rest of the capacity serves first tries.
     pub(super) fn admission_time(&self, now: Instant) -> Duration {
         let spent = self.since_first_try + now.saturating_duration_since(self.arrived);
         let left = self.route.target.saturating_sub(spent);
@@ -68,7 +73,7 @@
         }
     }
 
-    /// Returns how long after it came to a free engine the first event of this request is expected.
+    /// Returns the expected time to the first event on an idle engine.
     pub(super) fn prefill_time(&self) -> Duration {
         let Some(item) = &self.info.model else {
             return Duration::ZERO;
@@ -78,7 +83,7 @@
         Duration::from_secs_f64(reading / 1_000.0)
     }
 
-    /// Counts whether there was a free server for the request when it came.
+    /// Counts whether a server was free when the request arrived.
     fn count_saturation(&self, refused: bool) {
         self.node.saturation.lock().count(&self.service, refused, self.node.now());
     }
--- a/trackfrontd/src/serving/pipeline/attempt.rs
+++ b/trackfrontd/src/serving/pipeline/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one server, and what its answer's head says.
+//! A single send of a request to a server, and the evaluation of the answer's head.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -27,24 +27,26 @@
 use crate::serving::overlay::EntryKind;
 use crate::serving::{cold, crashes, notices};
 
-/// How long a connection to a server may take to open: many times the way within a region.
+/// The timeout for opening a connection to a server: many times the round trip within a region.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long the choice of a server stands until the request is sent: twice what a connection may take to open, and
-/// little beside the seconds for which servers that leave serve on. More passes only where the box stood still or its
-/// machine was suspended.
+/// How long the choice of a server stays valid until the request is sent: twice the connect
+/// timeout, and short against the seconds for which a leaving server keeps serving. It is only
+/// exceeded if the process stood still or the machine was suspended.
 const CHOICE_VALID_FOR: Duration = Duration::from_millis(500);
 
-/// How long a kept connection may have been unused for a request that may be sent again.
+/// The maximum idle time of a pooled connection for a request that may be repeated.
 const MAX_IDLE_REPEATABLE: Duration = Duration::from_secs(20);
 
-/// How long for a request that may not: a server may have forgotten the connection without a word.
+/// The maximum idle time of a pooled connection for a request that may not be repeated: a server
+/// may have dropped the connection silently.
 const MAX_IDLE_ONCE: Duration = Duration::from_secs(3);
 
-/// How many times its target an idempotent request waits at one server before another is asked.
+/// The multiple of its target for which an idempotent request waits at one server before another is
+/// tried.
 const HEAD_WAIT_TARGETS: u32 = 4;
 
-/// A request that counts at a server until this is dropped.
+/// Counts a request as in flight at a server until it is dropped.
 pub struct SendGuard {
     node: Arc<ServingNode>,
     counted: Option<TrackedRequest>,
@@ -52,12 +54,12 @@
     request: RequestId,
     fingerprint: Fingerprint,
     server: Arc<KnownServer>,
-    /// Whether the end of the answer shows that it is whole.
+    /// Whether the answer's framing shows that it is complete.
     has_own_end: bool,
 }
 
 impl SendGuard {
-    /// Notes the first event.
+    /// Records the first event of the answer.
     pub fn record_first_event(&mut self) {
         let now = self.node.now();
         if let Some(counted) = &mut self.counted {
@@ -65,13 +67,13 @@
         }
     }
 
-    /// Notes that the connection to the server broke under the request.
+    /// Records that the connection to the server broke while the request was in flight.
     pub fn record_broken_connection(&mut self) {
         self.finish(AttemptOutcome::Failed);
         crashes::connection_broke(&self.node, &self.request, self.fingerprint, &self.server);
     }
 
-    /// Notes that the server's answer came to its end, whatever it says.
+    /// Records that the server's answer ended, whatever its status.
     pub fn record_answer(&mut self, ending: AttemptOutcome) {
         self.finish(ending);
         self.node.crashes.record_alive(&self.server.entry.id, self.node.now());
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Notes how the request ended at the server.
+    /// Records how the request ended at the server. Later calls have no effect.
     pub fn finish(&mut self, ending: AttemptOutcome) {
         let now = self.node.now();
         if let Some(counted) = self.counted.take() {
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Returns how long the first event was expected to take, in milliseconds.
+    /// Returns the expected time to the first event, in milliseconds.
     pub fn expected_ms(&self) -> f64 {
         self.counted.as_ref().map_or(0.0, TrackedRequest::expected_ms)
     }
@@ -103,24 +105,25 @@
     }
 }
 
-/// What came of one send.
+/// The outcome of a single send.
 pub enum SendOutcome {
-    /// The head of an answer to this request.
+    /// The head of an answer to this request arrived.
     Answer(Box<UpstreamAnswer>, SendGuard),
-    /// Nothing was sent.
+    /// The server could not be reached; nothing was sent.
     Unreachable,
-    /// Nothing was sent, and nobody listens at the server's address.
+    /// The connection was refused: no process listens at the server's address.
     NotListening,
-    /// The server said that it did not run the request.
+    /// The server refused the request without running it.
     Refused,
-    /// The server has ended; another run of it, at its address, did not run the request.
+    /// The chosen incarnation of the server has ended; a new one at its address refused the request
+    /// without running it.
     IncarnationEnded,
-    /// The request may have run.
+    /// The request may have run; the reason for the failure.
     Failed(&'static str),
 }
 
 impl Job {
-    /// Returns until when the head of an answer is waited for.
+    /// Returns the time until which the head of an answer is awaited.
     fn head_until(&self) -> Instant {
         if !self.route.is_idempotent() || self.route.max_attempts < 2 {
             return self.answer_by;
@@ -130,7 +133,7 @@
         self.request_time() + max_wait.max(half)
     }
 
-    /// Sends the request to one server and waits for the head of its answer.
+    /// Sends the request to a server and waits for the head of its answer.
     pub async fn send(
         &self,
         choice: &Choice,
@@ -180,9 +183,11 @@
         outcome
     }
 
-    /// Makes the request as the server gets it, a connection being there; `None` if it may no longer be sent. The
-    /// machine may have been suspended since the server was chosen, and no timer tells: the client's time may be over,
-    /// its key taken away, the server gone. One reading of the clock judges all of it, so nothing passes in between.
+    /// Builds the request for the server once a connection is open; returns `None` if it may no
+    /// longer be sent. The machine may have been suspended since the server was chosen without a
+    /// timer showing it: the client's deadline may have passed, its key may have been revoked, the
+    /// server may be gone. A single clock reading is used for all checks, so that no time passes
+    /// between them.
     fn build_request(
         &self,
         choice: &Choice,
@@ -211,8 +216,9 @@
         Some(self.node.ports.servers.request(&self.head, self.body.clone(), &attempt))
     }
 
-    /// Returns whether the server may still be sent this request: since it was chosen its hall may have been emptied, it
-    /// may have named a limit or asked this box to stay away, and it may have become cold.
+    /// Returns whether the request may still be sent to the server. Since the choice, its hall may
+    /// have been evacuated, it may have named a limit or asked this box to back off, or it may have
+    /// become cold.
     fn may_send_to(&self, server: &KnownServer, permit: Option<Permit>, now: Moment) -> bool {
         let is_evacuated = self.node.evacuations.lock().is_evacuated(&server.entry.zone);
         !is_evacuated
@@ -220,7 +226,7 @@
             && cold::reserve(&self.node, self.cold_start(), server, now)
     }
 
-    /// Returns how long a kept connection may have been unused for this request.
+    /// Returns the maximum idle time of a pooled connection for this request.
     fn max_idle(&self) -> Duration {
         let repeats = self.route.is_idempotent() && self.route.max_attempts > 1;
         match self.saw_silence.load(Ordering::Relaxed) {
@@ -230,13 +236,14 @@
         }
     }
 
-    /// Notes that a server fell silent. Its connection may be at fault, and others that were open then may
-    /// be as well: the rest of this request goes over new ones.
+    /// Records that a server fell silent. The fault may lie with its connection, and other
+    /// connections of the same age may be affected, so this request only uses new connections from
+    /// now on.
     pub fn record_silence(&self) {
         self.saw_silence.store(true, Ordering::Relaxed);
     }
 
-    /// Judges the head of an answer.
+    /// Classifies the head of an answer.
     fn classify_head(
         &self,
         choice: &Choice,
@@ -247,8 +254,8 @@
         let server = &choice.server.entry.id;
         let head = node.ports.servers.read_head(&answer.head);
         let status = answer.head.status;
-        // On a kept connection a surplus answer to an earlier request may come first; one that names
-        // no request could be such, so it says nothing of this one.
+        // A pooled connection may first yield a surplus answer to an earlier request. An answer
+        // that names no request could be one of those, so it says nothing about this request.
         let is_ours = match &head.request {
             Some(id) => *id == self.info.id,
             None => answer.is_first,
@@ -286,14 +293,14 @@
         }
         if status.is_success() && !head.signed {
             guard.finish(AttemptOutcome::Failed);
-            log::warn!(request:% = self.info.id, server:%; "answer without the server's mark");
+            log::warn!(request:% = self.info.id, server:%; "answer lacks the server's signature");
             return ("unsigned", SendOutcome::Failed("the answer is not the server's"));
         }
         guard.has_own_end = answer.has_own_end();
         ("answered", SendOutcome::Answer(Box::new(answer), guard))
     }
 
-    /// Notes that the server lacks what its row says that it holds.
+    /// Records that the server lacks an item that its row lists.
     fn record_withdrawn(&self, choice: &Choice) {
         let Some(item) = &self.info.model else {
             return;
--- a/trackfrontd/src/serving/pipeline/choice.rs
+++ b/trackfrontd/src/serving/pipeline/choice.rs
@@ -1,4 +1,4 @@
-//! Which server gets a request, by all that this box knows.
+//! Chooses the server for a request from everything this box knows.
 
 use std::sync::Arc;
 
@@ -21,7 +21,8 @@
         self.choose_with(tried, true)
     }
 
-    /// The same; without `by_gates` also among servers with a limit whose next turn is not now.
+    /// Like [`Self::choose`]; without `heed_gates` it also considers servers with a limit that have
+    /// no permit available now.
     pub(super) fn choose_with(
         &self,
         tried: &[BackendId],
@@ -82,7 +83,8 @@
         let Some(item) = &self.info.model else {
             return choose_among(&mut all.iter());
         };
-        // Of thousands of engines few hold the model. The others only tell why there is no choice.
+        // Few of thousands of engines hold the model. The others are only needed to find out why
+        // there is no choice.
         let holders = directory.holding(&item.model).iter().filter(is_candidate);
         let holds = |known: &&Arc<KnownServer>| known.entry.models.contains_key(&item.model);
         let listed = |id: &BackendId| {
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Returns where the request may be served.
+    /// Returns the halls and regions in which the request may be served.
     fn places<'a>(
         &'a self,
         evacuations: &'a Evacuations,
@@ -109,7 +111,8 @@
         Places { evacuations, regions: &settings.halls, bounds }
     }
 
-    /// Returns what the servers of the service bear after a start, if that is less than later.
+    /// Returns the reduced load that the service's servers accept after a start; `None` if they
+    /// accept full load at once.
     pub(super) fn cold_start(&self) -> Option<ColdStart> {
         self.config.services.get(&self.service)?.cold
     }
--- a/trackfrontd/src/serving/pipeline/end_log.rs
+++ b/trackfrontd/src/serving/pipeline/end_log.rs
@@ -1,4 +1,4 @@
-//! The line and the figures of a request's end.
+//! The log line and the metrics for the end of a request.
 
 use std::sync::Arc;
 
@@ -9,28 +9,28 @@
 
 use crate::serving::node::ServingNode;
 
-/// Logs and counts the end of a request, also when the client leaves and the work is dropped.
+/// Logs and counts the end of a request, also if the client disconnects and the future is dropped.
 pub struct EndLog {
     node: Arc<ServingNode>,
     id: RequestId,
     model: Option<ModelRef>,
-    /// Its route, once that is known.
+    /// The route, once it is known.
     pub route: Option<Arc<Route>>,
-    /// Its client account, once that is known.
+    /// The client account, once it is known.
     pub account: Option<AccountName>,
     arrived: Instant,
     ended: bool,
 }
 
 impl EndLog {
-    /// Begins with a request that was read.
+    /// Creates the record of a request whose head was parsed.
     pub fn new(node: Arc<ServingNode>, info: &RequestInfo, arrived: Instant) -> Self {
         node.metrics.in_flight.inc();
         let (id, model) = (info.id.clone(), info.model.clone());
         Self { node, id, model, route: None, account: None, arrived, ended: false }
     }
 
-    /// Notes the end.
+    /// Logs and counts the end. Only the first call has an effect.
     pub fn end(&mut self, outcome: &'static str, cause: &str) {
         if self.ended {
             return;
--- a/trackfrontd/src/serving/pipeline/hold.rs
+++ b/trackfrontd/src/serving/pipeline/hold.rs
@@ -1,9 +1,10 @@
-//! Holding a request for what is known to come in time for it.
+//! Holds a request for a server or model that is expected in time.
 //!
-//! A model is waited for if its load is under way and ends in time, as the box that ordered it says. Where
-//! a load could end in time that this box has not heard of, it is waited for the word on it only. An
-//! adapter is also waited for if its order is yet to be given, as long as one took lately: its engine is
-//! there and takes the order within milliseconds. Everything else is refused at once.
+//! A model is awaited if its load is in progress and ends in time, as reported by the box that
+//! ordered it. If a load could end in time but this box has no report of one, only the report is
+//! awaited. An adapter is also awaited if its order is still to be given, for as long as recent
+//! ones took: its engine is up and takes the order within milliseconds. Everything else is refused
+//! at once.
 
 use std::time::Duration;
 
@@ -16,25 +17,25 @@
 use super::permit::Chosen;
 use super::{Attempts, Job};
 
-/// How long after the moment that was told for it a load is still waited for: engines are asked each
-/// 200 ms whether it is done, and word of it takes some milliseconds.
+/// How long after its announced end a load is still awaited: engines are polled every 200 ms for
+/// completion, and the report takes some milliseconds.
 const LOAD_REPORT_SLACK: Duration = Duration::from_millis(250);
 
-/// How long the answer to a question for a model may take: a plan is made within 15 ms of the question, at
-/// the latest 250 ms after the one before, and the words of both go through the network.
+/// How long the report on a missing model may take: a plan is made within 15 ms of the request for
+/// the model and at most 250 ms after the previous plan, plus the network delay of both messages.
 const REPORT_WAIT: Duration = Duration::from_millis(300);
 
-/// A wait, and until when.
+/// How long a request may be held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Wait {
-    /// Nothing is known to come in time.
+    /// Nothing is expected in time.
     Nothing,
-    /// Something should be there at a moment, and is given up at a later one.
+    /// Something is expected at `expected` and given up at `until`.
     For { expected: Instant, until: Instant },
 }
 
 impl Job {
-    /// Chooses a server; waits for one that is known to be able to answer in time.
+    /// Chooses a server, or waits for one that is expected to answer in time.
     pub(super) async fn choose_or_wait(&self, attempts: &Attempts) -> Result<Chosen, Refusal> {
         let began = Instant::now();
         let mut held_for = None;
@@ -52,8 +53,8 @@
             if let Some(item) = self.missing_item(no_choice) {
                 self.node.add_missing_item(&item);
             }
-            // Another server that is tried after a failure is not waited for. Nor does a box hold what
-            // it could not answer before it ends: its client finds another.
+            // A retry at another server isn't held. A stopping box holds nothing that it could not
+            // answer before it ends; the client finds another box.
             let wait = match attempts.servers.is_empty() && !self.node.is_stopping() {
                 true => self.wait_for_missing(no_choice),
                 false => Wait::Nothing,
@@ -66,7 +67,7 @@
             match wait {
                 Wait::For { expected, until } if now < until => {
                     held_for.get_or_insert(no_choice);
-                    // Looked at again in any case: at the moment that was told, or when word comes.
+                    // Checks again at the expected time, or as soon as a change is reported.
                     let wake = if now < expected { expected.min(until) } else { until };
                     let _ = timeout_at(self.timer(wake), changed).await;
                 }
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Returns what no engine holds, if that is what is lacking.
+    /// Returns the model or adapter that no engine holds, if that is why there is no choice.
     pub(super) fn missing_item(&self, no_choice: NoChoice) -> Option<ModelRef> {
         let item = self.info.model.as_ref()?;
         match no_choice {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Returns how long the request can wait for what is lacking.
+    /// Returns how long the request can wait for what is missing.
     fn wait_for_missing(&self, no_choice: NoChoice) -> Wait {
         if let NoChoice::Unavailable(Unavailable { until, cause: UnavailableCause::BacksOff }) =
             no_choice
@@ -116,7 +117,7 @@
                 (until, until)
             }
             None => {
-                // What the configuration does not have never comes.
+                // A model that isn't configured is never loaded.
                 let Some(load_time) = self.load_time() else {
                     return Wait::Nothing;
                 };
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Returns the wait for servers that take nothing from this box until then, if that is in time. Requests that are held
-    /// for the same one are let go one after the other.
+    /// Returns the wait until servers that asked this box to back off accept requests again, if
+    /// that is in time. Requests held for the same server are released at spread-out times.
     fn wait_until(&self, until: Moment) -> Wait {
         let expected = self.request_time() + self.spread(until.since(self.node.now()));
         let latest = (self.arrived + self.route.target).min(self.answer_by);
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Logs and counts the end of a wait, and learns how long adapters take.
+    /// Logs and counts the end of a hold, and records how long adapters take.
     fn finish_hold(&self, held_for: Option<NoChoice>, began: Instant, came: bool) {
         let Some(no_choice) = held_for else {
             return;
--- a/trackfrontd/src/serving/pipeline/key.rs
+++ b/trackfrontd/src/serving/pipeline/key.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, and whether its key is still good when it is sent.
+//! Identifies the client account of a request, and checks at each send that its key is still valid.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,12 +11,13 @@
 use super::{Attempts, Job, STARTING_RETRY_AFTER};
 use crate::serving::node::ServingNode;
 
-/// The shortest and the longest time to come back to a box that cannot tell whether keys are good. Another box
-/// may know, and the client reaches one with its next connection.
+/// The bounds of the retry-after time at a box that cannot tell whether keys are still valid.
+/// Another box may know, and the client may reach it with its next connection.
 const NOT_CURRENT_RETRY_AFTER: (Duration, Duration) =
     (Duration::from_millis(200), Duration::from_millis(2_000));
 
-/// Finds out whose request it is, before its body is read. `None` for one that needs no key.
+/// Returns the client account of a request, before its body is read; `None` if the request needs no
+/// key.
 pub fn identify(
     node: &ServingNode,
     route: &Route,
@@ -40,8 +41,8 @@
     config.holder(route, info.key.as_ref())
 }
 
-/// Refuses what needs a key that may have been taken away. How long a silence goes on is best told by how long
-/// it has lasted.
+/// Returns the refusal for a request whose key may have been revoked. The best estimate of how much
+/// longer the configuration stays stale is how long it has been stale so far.
 fn not_current(node: &ServingNode) -> Refusal {
     let terms = node.settings.load().promises.keys();
     let silent = node.config_freshness.age(node.now()).zip(terms);
@@ -51,8 +52,8 @@
 }
 
 impl Job {
-    /// Returns whether the key of the request still belongs to its account at `now`, by accounts that are known to be
-    /// the newest. To be asked last thing before each send: the process may have stood still since.
+    /// Returns whether the key still belongs to its account at `now`, by accounts known to be
+    /// current. It must be the last check before each send, since the process may have stood still.
     pub(super) fn key_is_good(&self, now: Moment) -> bool {
         let Some(account) = &self.account else {
             return true;
@@ -65,7 +66,7 @@
         matches!(holder, Some(KeyHolder::Account(holder)) if holder.name == account.name)
     }
 
-    /// Refuses a request whose key is no longer known to be good.
+    /// Refuses a request whose key is no longer known to be valid.
     pub(super) fn check_key(&self, attempts: &Attempts) -> Option<Refusal> {
         let now = self.node.now();
         if self.key_is_good(now) {
--- a/trackfrontd/src/serving/pipeline/limit.rs
+++ b/trackfrontd/src/serving/pipeline/limit.rs
@@ -1,7 +1,7 @@
-//! The units that a request takes of its account's limit.
+//! The units that a request takes from its account's limit.
 //!
-//! They are taken last before a send, since what was granted has to be used soon, and given back if the request
-//! did not run.
+//! They are taken right before a send, since a grant expires soon, and are returned if the request
+//! didn't run.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -14,13 +14,14 @@
 use super::{Attempts, Job};
 use crate::serving::node::ServingNode;
 
-/// How long units are waited for: some questions to a keeper that is gone, and one to the next.
+/// The maximum wait for units: a few requests to a coordinator that is gone, and one to the next
+/// coordinator.
 const MAX_UNITS_WAIT: Duration = Duration::from_millis(600);
 
-/// The wait for units after which a server is chosen anew.
+/// The wait for units after which the server is chosen anew.
 const RECHOOSE_AFTER_WAIT: Duration = Duration::from_millis(40);
 
-/// Units that were taken and are not used yet. Dropped, they are given back.
+/// Units that were taken but not consumed. Dropping them returns them to the account.
 pub struct QuotaUnits {
     node: Arc<ServingNode>,
     account: AccountId,
@@ -28,7 +29,7 @@
 }
 
 impl QuotaUnits {
-    /// The request may have run: they are used up.
+    /// Consumes the units, since the request may have run.
     pub fn consume(mut self) {
         self.units = 0;
     }
@@ -42,16 +43,16 @@
     }
 }
 
-/// What came of taking units.
+/// The result of taking units.
 pub enum UnitsTaken {
-    /// They are there, or none are needed.
+    /// The units were granted at once, or none are needed.
     Immediate(Option<QuotaUnits>),
-    /// They are there, after a wait in which much may have changed.
+    /// The units were granted after a wait, in which the state of the servers may have changed.
     AfterWait(Option<QuotaUnits>),
 }
 
 impl Job {
-    /// Takes the units of one run of the request, unless `tries` has them.
+    /// Takes the units for one run of the request, unless `attempts` already holds them.
     pub(super) async fn acquire_units(
         &self,
         attempts: &mut Attempts,
@@ -72,7 +73,7 @@
         })
     }
 
-    /// Takes the units of one run of the request; `None` if its account has no limit.
+    /// Takes the units for one run of the request; `None` if its account has no limit.
     pub async fn request_units(&self) -> Result<Option<QuotaUnits>, Refusal> {
         let Some(account) = &self.account else {
             return Ok(None);
--- a/trackfrontd/src/serving/pipeline/mod.rs
+++ b/trackfrontd/src/serving/pipeline/mod.rs
@@ -1,7 +1,7 @@
-//! The way of a request: admit, choose a server, send, relay, settle.
+//! The request pipeline: admit, choose a server, send, relay, record the end.
 //!
-//! What may have run is never sent again unless it is idempotent, and never refused as not run. A
-//! request that is given up gets its answer at once.
+//! A request that may have run is never sent again unless it is idempotent, and never refused as
+//! not run. A request that is given up is answered at once.
 
 mod admission;
 mod attempt;
@@ -44,62 +44,63 @@
 use super::node::ServingNode;
 use super::response_relay::{self, RelayOutcome};
 
-/// How long before the client's deadline the node answers by itself.
+/// How long before the client's deadline the box answers by itself.
 const ANSWER_MARGIN: Duration = Duration::from_millis(40);
 
-/// How many servers that cannot be reached are tried.
+/// The maximum number of tried servers that are otherwise unreachable or have ended.
 const MAX_UNREACHABLE: u32 = 3;
 
-/// How many servers at whose address nobody listens are tried: each is known within a millisecond, and is told to all
-/// boxes, so that the next request does not meet it.
+/// The maximum number of tried servers whose address refuses connections. Each is detected within a
+/// millisecond and reported to all boxes, so that the next request avoids it.
 const MAX_NOT_LISTENING: u32 = 24;
 
-/// The shortest time to come back after a refusal.
+/// The minimum retry-after time of a refusal.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// When to come back to a node that has no configuration yet.
+/// The retry-after time of a box that has no configuration yet.
 const STARTING_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 
-/// A request on its way.
+/// An admitted request and its state while it is being served.
 pub struct Job {
-    /// The node.
+    /// The state of this box.
     pub node: Arc<ServingNode>,
-    /// Its route.
+    /// The route of the request.
     pub route: Arc<Route>,
-    /// The service that answers it.
+    /// The service that answers the request.
     pub service: ServiceName,
-    /// What it says of itself.
+    /// What the client's head states about the request.
     pub info: RequestInfo,
-    /// The client account whose request it is, if it shows a key.
+    /// The client account, if the request carries a key.
     pub account: Option<Arc<ClientAccount>>,
-    /// Its rank: that of its account, or else of its route.
+    /// The request's rank: that of its account, or else of its route.
     pub rank: u8,
-    /// What it is apart from its identifier.
+    /// Identifies equal requests, whatever their request identifiers.
     pub fingerprint: Fingerprint,
-    /// The prefixes of its prompt.
+    /// The prefixes of the prompt.
     pub prefixes: Vec<Prefix>,
-    /// Its head as the client sent it.
+    /// The head as the client sent it.
     pub head: request::Parts,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
-    /// When it arrived, by the clock of timers and by the one that counts suspensions of the machine as well.
+    /// The time of arrival on the clock of timers; `arrived_at` is the same on the clock that also
+    /// advances while the machine is suspended.
     pub arrived: Instant,
     arrived_at: Moment,
-    /// How long before that its client first tried, as far as that can be told.
+    /// How long before its arrival the client first tried, as far as that is known.
     pub since_first_try: Duration,
-    /// When the client stops waiting.
+    /// The time at which the client stops waiting.
     pub deadline: Option<Instant>,
-    /// When the node gives its final answer at the latest.
+    /// The latest time for the final answer.
     pub answer_by: Instant,
-    /// The configuration that it is answered under.
+    /// The configuration under which the request was admitted.
     pub config: Arc<ServingConfig>,
-    /// Whether a server that it was sent to fell silent.
+    /// Whether a server that was sent the request fell silent.
     saw_silence: AtomicBool,
-    /// Whether it is sent though it is held off, as a trial.
+    /// Whether the request is sent as a trial although it is quarantined.
     is_trial: AtomicBool,
 }
 
-/// Answers a request of a client.
+/// Answers a client's request.
 pub async fn answer(
     node: Arc<ServingNode>,
     request: Request<Incoming>,
@@ -110,7 +111,7 @@
         Ok(info) => info,
         Err(refusal) => {
             node.metrics.ended("unknown", refusal.name());
-            log::info!(outcome = refusal.name(), cause:% = refusal; "request refused unread");
+            log::info!(outcome = refusal.name(), cause:% = refusal; "request head refused");
             return Ok(refused(&node, &refusal, None));
         }
     };
@@ -132,7 +133,7 @@
     response
 }
 
-/// A stopping node asks clients to open their next connection elsewhere.
+/// Asks clients of a stopping box to open their next connection elsewhere.
 fn close_if_stopping(node: &ServingNode, response: &mut Response<Body>) {
     if node.is_stopping() {
         let close = http::HeaderValue::from_static("close");
@@ -140,7 +141,7 @@
     }
 }
 
-/// Finds the route and reads the whole request.
+/// Finds the route and account of a request and reads its body.
 async fn admit(
     node: &Arc<ServingNode>,
     info: RequestInfo,
@@ -205,7 +206,7 @@
     u64::from_le_bytes(hash.as_bytes()[..8].try_into().expect("a hash has 32 bytes"))
 }
 
-/// Counts the request for the budget of retries and for the demand.
+/// Counts the request towards the retry budget and the demand.
 fn count_demand(job: &Job) {
     let node = &job.node;
     let now = node.now();
@@ -217,7 +218,7 @@
             f64::from(job.info.prompt_tokens) * loads.prefill_ms_per_token(&item.model);
         let decode_ms = loads.decode_ms(&item.model, job.info.output_tokens);
         drop(loads);
-        // An engine reads one prompt after the other, and makes as many answers at once as it has
+        // An engine prefills one prompt at a time, and decodes as many answers at once as it has
         // slots.
         let work_ms = prefill_ms + decode_ms / f64::from(engine.slots.max(1));
         let mut demand = node.demand.lock();
@@ -261,7 +262,7 @@
             Ok(UnitsTaken::Immediate(units)) => attempts.units = units,
             Ok(UnitsTaken::AfterWait(units)) => {
                 attempts.units = units;
-                // Without any, nothing was waited for.
+                // If no units are needed, there was no wait.
                 if attempts.units.is_some() {
                     continue;
                 }
@@ -314,41 +315,43 @@
     refused(&node, &refusal, Some(&job.info.id))
 }
 
-/// What was tried so far.
+/// The attempts made so far.
 #[derive(Default)]
 pub struct Attempts {
-    /// Servers that the request was sent to, or that could not be reached.
+    /// The servers that were tried, including unreachable ones.
     pub servers: Vec<BackendId>,
-    /// How many servers it was sent to.
+    /// The number of servers that were sent the request.
     pub sends: u32,
-    /// How many could not be reached.
+    /// The number of servers that could not be reached.
     pub unreachable: u32,
-    /// At how many servers' addresses nobody listens.
+    /// The number of servers that refused the connection.
     pub not_listening: u32,
-    /// How many had ended before it came: they got it and are no attempt.
+    /// The number of servers whose incarnation had ended before the request arrived; these don't
+    /// count as sends.
     pub ended: u32,
-    /// Why it may have run, if it may.
+    /// The reason why the request may have run, if it may have.
     pub may_have_run: Option<&'static str>,
-    /// A failure that a server answered with, to be passed on if nothing better comes.
+    /// A failure with which a server answered, forwarded if nothing better follows.
     pub failure: Option<PlainAnswer>,
-    /// Units of its account's limit that are taken for the next send.
+    /// The units of the account's limit held for the next send.
     pub units: Option<QuotaUnits>,
-    /// Whether the next send is taken off the budget of retries.
+    /// Whether the next send is already counted against the retry budget.
     pub has_retry: bool,
-    /// How often a server that was chosen had no turn for it.
+    /// The number of times that a chosen server had no permit.
     pub permits_refused: u32,
 }
 
 impl Job {
-    /// Takes one send more from the budget that all nodes share.
+    /// Takes a retry from the budget that all boxes share. Returns whether one was left.
     pub fn take_retry(&self) -> bool {
         let now = self.node.now();
         let nodes = self.node.peers.lock().sharing(now);
         self.node.retry_budgets.lock().try_take(&self.service, nodes, now)
     }
 
-    /// Returns the present moment on the line of this request's times, which counts suspensions of the machine: timers
-    /// do not, and would give a server time that is over for the client.
+    /// Returns the present on the request's time line, which advances while the machine is
+    /// suspended. Timers don't, and would grant a server time that has already passed for the
+    /// client.
     pub fn request_time(&self) -> Instant {
         self.request_time_at(self.node.now())
     }
@@ -357,7 +360,8 @@
         self.arrived + now.since(self.arrived_at)
     }
 
-    /// Returns when a timer is over that is set now for a moment on the line of this request's times.
+    /// Returns the expiry for a timer that is set now and should fire at `at` on the request's time
+    /// line.
     pub fn timer(&self, at: Instant) -> Instant {
         Instant::now() + at.saturating_duration_since(self.request_time())
     }
@@ -372,19 +376,19 @@
         in_time && reachable && attempts_left && may_repeat
     }
 
-    /// Returns whether it may well be what ended the servers that it ran on. It is not sent to another one in the
-    /// same try: its client comes again, and by then more is known.
+    /// Returns whether the request is suspected of having crashed the servers that ran it. It isn't
+    /// sent to another server in the same try; by the time the client retries, more is known.
     pub fn may_crash_servers(&self) -> bool {
         self.node.crashes.is_suspect(self.fingerprint, self.node.now())
     }
 
-    /// Returns whether it may still be sent, as far as what it did to servers goes.
+    /// Returns whether quarantine still allows the request to be sent.
     fn may_pass_quarantine(&self) -> bool {
         let is_trial = self.is_trial.load(Ordering::Relaxed);
         is_trial || self.node.crashes.quarantined(self.fingerprint).is_none()
     }
 
-    /// Refuses what is held off, also while it waits between two sends.
+    /// Refuses a quarantined request, also one that was quarantined between two sends.
     fn check_quarantine(&self, attempts: &Attempts) -> Option<Refusal> {
         if self.is_trial.load(Ordering::Relaxed) {
             return None;
--- a/trackfrontd/src/serving/pipeline/permit.rs
+++ b/trackfrontd/src/serving/pipeline/permit.rs
@@ -1,4 +1,5 @@
-//! Turns that a request takes at a server that named a limit: last before a send, since a turn has to be used soon.
+//! Permits for servers that named a limit. A permit is requested right before a send, since it
+//! expires soon.
 
 use std::time::Duration;
 
@@ -9,28 +10,28 @@
 use super::{Attempts, Job};
 use crate::serving::permits::{self, NoPermit};
 
-/// How many servers are asked in vain for a turn until a request is refused.
+/// The maximum number of chosen servers that refuse a permit before the request is refused.
 pub(super) const MAX_PERMITS_REFUSED: u32 = 4;
 
-/// How many times what an answer is expected to take has to be left after the wait for a turn.
+/// The multiple of the estimated answer time that must be left after the wait for a permit.
 const MIN_ESTIMATES_LEFT: u32 = 2;
 
-/// A server that was chosen, and a turn there if one had to be waited for.
+/// A chosen server, and the permit for it if one had to be awaited.
 pub struct Chosen {
-    /// The server.
+    /// The chosen server.
     pub choice: Choice,
-    /// The turn.
+    /// The permit, if it was already obtained.
     pub permit: Option<Permit>,
 }
 
-/// Logs that the server that was chosen had no turn.
+/// Logs that the chosen server had no permit.
 pub(super) fn log_no_permit(job: &Job, choice: &Choice, no_permit: NoPermit) {
     let (request, server, per_s) = (&job.info.id, &choice.server.entry.id, no_permit.per_s);
-    log::info!(request:%, server:%, per_s; "no turn at server");
+    log::info!(request:%, server:%, per_s; "no permit at server");
 }
 
 impl Job {
-    /// Takes a turn at the server that was chosen, if that has named a limit; waits for it up to `patience`.
+    /// Acquires a permit for the chosen server if it named a limit, waiting up to `max_wait`.
     pub(super) async fn acquire_permit(
         &self,
         choice: &Choice,
@@ -39,7 +40,8 @@
         permits::acquire(&self.node, &choice.server.entry.id, max_wait).await
     }
 
-    /// Chooses a server that is not in `tried`, with a turn there if one is needed; `None` if there is none now.
+    /// Chooses a server that is not in `tried`, with a permit if it needs one; `None` if none is
+    /// available now.
     pub async fn choose_with_permit(&self, tried: &[BackendId]) -> Option<Chosen> {
         for _ in 0..MAX_PERMITS_REFUSED {
             let choice = self.choose(tried).ok()?;
@@ -51,8 +53,8 @@
         None
     }
 
-    /// Waits for a turn where all servers that offer what is asked for have none now, if one comes in time for it. One
-    /// that is not the first try is not held: its client has waited already.
+    /// Waits for a permit if all suitable servers are at their limits and one becomes available in
+    /// time. Retries aren't held, since their client has already waited.
     pub(super) async fn wait_for_permit(
         &self,
         no_choice: NoChoice,
@@ -76,7 +78,7 @@
         if let Some(permit) = permit {
             permits::wait_until_valid(&self.node, permit).await;
         }
-        // It is as good as chosen now, if it is still there.
+        // The choice counts as made now, if the server still exists.
         let server = self.node.directory.lock().get(&choice.server.entry.id).cloned()?;
         choice.at = self.node.now();
         Some(Chosen { choice: Choice { server, ..choice }, permit })
--- a/trackfrontd/src/serving/pipeline/plain.rs
+++ b/trackfrontd/src/serving/pipeline/plain.rs
@@ -1,4 +1,4 @@
-//! Plain answers, which are read whole before they are passed on.
+//! Plain answers, which are read completely before they are forwarded.
 
 use bytes::Bytes;
 use http::{Response, StatusCode};
@@ -10,10 +10,10 @@
 
 use super::Job;
 
-/// The largest plain answer, in bytes.
+/// The maximum size of a plain answer.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// How an answer broke off.
+/// Why an answer is incomplete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenAnswer {
     /// The connection to the server broke.
@@ -23,7 +23,7 @@
 }
 
 impl BrokenAnswer {
-    /// Returns what is told of it.
+    /// Returns the cause for logs and refusals.
     pub fn cause(self) -> &'static str {
         match self {
             BrokenAnswer::Connection(cause) | BrokenAnswer::TimedOut(cause) => cause,
@@ -31,16 +31,16 @@
     }
 }
 
-/// A server's whole answer.
+/// A server's complete answer.
 pub struct PlainAnswer {
-    /// Status and headers.
+    /// The status and the headers.
     pub head: http::response::Parts,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl Job {
-    /// Makes the client's answer out of the head of a server's.
+    /// Builds the client's response from the head of a server's answer.
     pub fn client_response(&self, head: &http::response::Parts, body: Body) -> Response<Body> {
         let mut response = Response::new(body);
         *response.status_mut() = head.status;
@@ -48,7 +48,7 @@
         response
     }
 
-    /// Reads a plain answer whole.
+    /// Reads a plain answer to its end.
     pub async fn read_plain(&self, answer: UpstreamAnswer) -> Result<PlainAnswer, BrokenAnswer> {
         let UpstreamAnswer { head, body, .. } = answer;
         match timeout_at(self.timer(self.answer_by), body.read(MAX_ANSWER_BYTES)).await {
@@ -61,19 +61,19 @@
         }
     }
 
-    /// Makes the client's answer out of a server's whole one.
+    /// Builds the client's response from a server's complete answer.
     pub fn plain_response(&self, answer: PlainAnswer) -> Response<Body> {
         let PlainAnswer { head, body } = answer;
         let length = body.len();
         let mut response = self.client_response(&head, full(body));
-        // The length that the server stated is that of the body, or there was none.
+        // Either the server stated this length, or it stated none.
         if head.status != StatusCode::NO_CONTENT {
             response.headers_mut().insert(http::header::CONTENT_LENGTH, length.into());
         }
         response
     }
 
-    /// Returns whether its answer is a stream.
+    /// Returns whether the route's answers are streams.
     pub fn is_stream(&self) -> bool {
         self.route.kind == RouteKind::Stream
     }
--- a/trackfrontd/src/serving/response_relay.rs
+++ b/trackfrontd/src/serving/response_relay.rs
@@ -1,7 +1,7 @@
-//! Passes answers on: plain ones whole, streams event by event.
+//! Relays answers to clients: plain ones as a whole, streams event by event.
 //!
-//! An answer that breaks off is never ended as if it were whole: its connection is cut. A stream
-//! that may be resumed is continued by another server after the last whole event.
+//! An answer that breaks off is never ended as if it were complete: its connection is cut. A
+//! resumable stream is continued by another server after the last complete event.
 
 use std::sync::Arc;
 
@@ -21,16 +21,16 @@
     Attempts, BrokenAnswer, Chosen, EndLog, Job, PlainAnswer, QuotaUnits, SendGuard, SendOutcome,
 };
 
-/// How many times the longest pause in time a resumable stream may stay silent.
+/// The multiple of the gap target for which a resumable stream may stay silent.
 const SILENCE_GAPS: u32 = 4;
 
-/// What came of relaying an answer.
+/// The outcome of relaying an answer.
 pub enum RelayOutcome {
-    /// The client's answer, and whether it is a stream.
+    /// The client's response, and whether it is a stream.
     Answer(Response<Body>, bool),
-    /// The server's own failure, which may be passed on.
+    /// The server's own failure, which may be forwarded.
     Failure(PlainAnswer),
-    /// The answer broke off before anything was passed on.
+    /// The answer broke off before any of it was forwarded.
     Broken(&'static str),
 }
 
@@ -40,7 +40,7 @@
     end: EndLog,
 }
 
-/// Ties the end of a request to the end of its answer's stream.
+/// Logs the end of a request at the end of its stream.
 fn logged(body: Body, end: EndLog) -> Body {
     let pieces = stream::unfold(LoggedBody { body, end }, |mut logged| async move {
         match logged.body.frame().await {
@@ -58,7 +58,7 @@
     StreamBody::new(pieces).boxed_unsync()
 }
 
-/// Logs the end of a request that is answered: now, or with the end of its stream.
+/// Logs the end of an answered request: now, or at the end of its stream.
 pub fn log_end(response: Response<Body>, is_stream: bool, mut end: EndLog) -> Response<Body> {
     if is_stream {
         return response.map(|body| logged(body, end));
@@ -67,7 +67,7 @@
     response
 }
 
-/// Relays an answer whose head came from a server.
+/// Relays a server's answer after its head.
 pub async fn relay(
     job: &Arc<Job>,
     answer: UpstreamAnswer,
@@ -107,12 +107,12 @@
     }
 }
 
-/// A stream on its way to the client.
+/// A stream that is being relayed to the client.
 struct EventStream {
     job: Arc<Job>,
     body: UpstreamBody,
     guard: SendGuard,
-    /// What came after the last whole event.
+    /// The bytes received after the last complete event.
     partial: BytesMut,
     last_event: Option<String>,
     tried: Vec<BackendId>,
@@ -120,7 +120,7 @@
     ended: bool,
 }
 
-/// What came next on a stream.
+/// The next part of a stream.
 enum Next {
     Piece(Bytes),
     End,
@@ -187,7 +187,7 @@
         log::info!(request:% = job.info.id, ms, expected_ms = expected; "first event");
     }
 
-    /// Returns the next piece for the client.
+    /// Returns the next piece for the client, resuming the stream if it breaks off.
     async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
         if self.ended {
             return None;
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Returns when a stream that stays silent is taken for broken.
+    /// Returns the time at which a silent stream counts as broken.
     fn silent_until(&self) -> Instant {
         let job = &self.job;
         match job.route.gap_target {
@@ -230,8 +230,8 @@
         }
     }
 
-    /// Reads on until there is something to pass on: anything at all, or, if the stream may be
-    /// resumed, a whole event.
+    /// Reads until there is a piece to forward: any bytes, or, for a resumable stream, complete
+    /// events.
     async fn next_piece(&mut self) -> Next {
         loop {
             let until = self.silent_until();
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Takes the whole events off what has come and notes the last one's identifier.
+    /// Removes the complete events from the buffer, and records the identifier of the last one.
     fn whole_events(&mut self) -> Option<Bytes> {
         let end = self.partial.windows(2).rposition(|pair| pair == b"\n\n")? + 2;
         let events = self.partial.split_to(end).freeze();
@@ -271,7 +271,7 @@
         Some(events)
     }
 
-    /// Continues the stream at another server. Returns whether that worked.
+    /// Continues the stream at another server. Returns whether that succeeded.
     async fn resume(&mut self, cause: &'static str) -> bool {
         let job = self.job.clone();
         let allowed = job.route.resumable
@@ -282,7 +282,7 @@
             return false;
         }
         self.partial.clear();
-        // A stream that fell silent may still run; it must not beside the one that continues it.
+        // A silent stream may still be running; it must not run beside its continuation.
         self.body.close();
         if job.choose(&self.tried).is_err() || !job.take_retry() {
             return false;
@@ -290,7 +290,7 @@
         let Ok(units) = job.request_units().await else {
             return false;
         };
-        // What is granted for a moment is taken last.
+        // A permit expires soon, so it is requested last.
         let Some(Chosen { choice, permit }) = job.choose_with_permit(&self.tried).await else {
             return false;
         };
