--- a/trackfrontd/src/serving/lease.rs
+++ b/trackfrontd/src/serving/lease.rs
@@ -1,9 +1,9 @@
-//! The lease on giving orders to engines: one node at a time, over all engines of a deployment.
+//! The order lease: one box at a time gives orders to all engines of a deployment.
 //!
-//! The row lies in the platform's table. It is written only when orders are to be given, so steady
-//! demand costs no calls. Other nodes learn from digests that the holder is alive, and look at the
-//! row only when it is not heard. Some engines do not check fencing tokens, so between the last
-//! order of one holder and the first of the next there is a quiet time.
+//! The lease is a row in the platform's table. It is written only when orders are to be given, so
+//! steady demand costs no calls. Other boxes learn from digests that the holder is alive, and read
+//! the row only if they hear nothing from it. Some engines don't check fencing tokens, so a quiet
+//! period separates the last order of one holder from the first order of the next.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,44 +24,46 @@
 use super::gossip::HoldsOrderLease;
 use super::node::ServingNode;
 
-/// The row of the lease.
+/// The key of the lease's row.
 const LEASE_ROW_KEY: &str = "lease/orders";
 
-/// How long the lease lasts after each renewal. Short, since it bounds how long engines get no
-/// orders after the holder's death; long against a slow answer of the platform.
+/// The duration of the lease after each renewal. It is short since it bounds how long engines get
+/// no orders after the holder's death, and long against a slow answer of the platform.
 const LEASE_TTL: Duration = Duration::from_millis(1_250);
 
-/// How much of the lease has to be left so that it is not renewed before orders.
+/// The lease is renewed before orders if less than this is left.
 const RENEW_BELOW: Duration = Duration::from_millis(600);
 
-/// What the quiet time has beyond what is promised: the way of an order to an engine.
+/// The part of the quiet period for an order's travel time to an engine, in addition to the
+/// promised period.
 const ORDER_TRAVEL_TIME: Duration = Duration::from_millis(400);
 
-/// How often the row is looked at while nobody gives orders.
+/// The minimum interval between reads of the row while no box gives orders.
 const READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long the holder tries to renew before it lets others take over. Its right has ended by then.
+/// How long the holder tries to renew the lease before it lets others take over. The fencing token
+/// has expired by then.
 const RENEW_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long a node waits for each node before it in the order of what they can bear.
+/// The additional wait of a box for each box ranked before it by capacity.
 const RANK_DELAY: Duration = Duration::from_millis(300);
 
-/// How many times a write whose answer was lost is sent.
+/// The number of attempts of a write whose answer was lost.
 const COMMIT_ATTEMPTS: u32 = 2;
 
-/// Until when orders may be given, and under which token.
+/// A fencing token and the time until which it may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ValidFence {
     fence: Fence,
     until: Moment,
 }
 
-/// The right to give orders as the tasks that give them see it.
+/// The fencing token, shared with the tasks that send orders.
 #[derive(Debug, Default)]
 pub struct OrderFence(Mutex<Option<ValidFence>>);
 
 impl OrderFence {
-    /// Returns the fencing token if orders may be given at `now`. To be asked last thing before
+    /// Returns the fencing token if orders may be given at `now`. It must be the last check before
     /// each send.
     pub fn usable(&self, now: Moment) -> Option<Fence> {
         self.0.lock().filter(|valid| now < valid.until).map(|valid| valid.fence)
@@ -72,7 +74,7 @@
     }
 }
 
-/// Takes, renews and gives up the lease.
+/// Acquires, renews and releases the order lease.
 pub struct OrderLease {
     node: Arc<ServingNode>,
     me: NodeId,
@@ -87,13 +89,13 @@
 }
 
 impl OrderLease {
-    /// Makes a lease that is not held.
+    /// Creates the state of a lease that isn't held.
     pub fn new(
         node: Arc<ServingNode>,
         order_fence: Arc<OrderFence>,
         giving: Arc<HoldsOrderLease>,
     ) -> Self {
-        // One name for each machine: a process that comes back on it is the same holder.
+        // The name is that of the machine: a process that restarts on it is the same holder.
         let me = NodeId::from(node.settings.load().node.ip.to_string());
         Self {
             node,
@@ -109,12 +111,12 @@
         }
     }
 
-    /// Returns whether this node is the one that gives orders.
+    /// Returns whether this box holds the order lease.
     pub fn is_holder(&self) -> bool {
         self.giving.get()
     }
 
-    /// Takes the lease if nobody else gives orders. Returns whether this node does.
+    /// Acquires the lease if no other box gives orders. Returns whether this box holds it.
     pub async fn try_acquire(&mut self) -> bool {
         if self.is_holder() {
             return true;
@@ -135,7 +137,7 @@
         self.take_over().await
     }
 
-    /// Makes sure that orders may be given for a while. Returns whether they may.
+    /// Renews the lease if it ends soon. Returns whether orders may be given for a while.
     pub async fn renew(&mut self) -> bool {
         let now = self.node.now();
         if self.order_fence.usable(now + RENEW_BELOW).is_some() {
@@ -159,7 +161,7 @@
         false
     }
 
-    /// Gives the lease up, so that another node can take it without waiting for its end.
+    /// Releases the lease, so that another box can acquire it without waiting for its end.
     pub async fn release(&mut self) {
         if !self.is_holder() {
             return;
@@ -174,11 +176,12 @@
         let version = seen.version + 1;
         let applied = self.commit(&row).await == CommitOutcome::Applied;
         if applied {
-            // No order was given since the right was dropped, so the quiet time began then.
+            // No order was sent after the fencing token was dropped, so the quiet period began
+            // then.
             self.giving.say(LeaseAnnouncement { version, ends_at: dropped_at });
             self.node.digest_requested.notify_one();
         }
-        log::info!(applied; "order lease given up");
+        log::info!(applied; "order lease released");
     }
 
     fn rank(&self, now: Moment) -> u32 {
@@ -219,7 +222,7 @@
         true
     }
 
-    /// Returns what the node that wrote the row as it was seen last told in its digests.
+    /// Returns the last announcement of the box that wrote the row as last read.
     fn holder_announcement(&self) -> Option<LeaseAnnouncement> {
         let version = self.seen.as_ref()?.version;
         self.node.peers.lock().holders_word(version)
@@ -254,8 +257,8 @@
             }
             CommitOutcome::NotApplied(error) | CommitOutcome::Unknown(error) => {
                 log::info!(error:% = error; "order lease not written");
-                // What the row says now is not known; it is read before the next write. The right
-                // that an earlier write gave goes on until its own end.
+                // The row's present state is unknown, so it is read before the next write. The
+                // token from an earlier write stays valid until its own end.
                 self.seen = None;
                 return false;
             }
--- a/trackfrontd/src/serving/missing_items.rs
+++ b/trackfrontd/src/serving/missing_items.rs
@@ -1,8 +1,8 @@
-//! Who lacks what, and what is on its way.
+//! Models and adapters that boxes need and no engine holds, and those that are being loaded.
 //!
-//! A box that lacks a model or an adapter tells the holder of the lease on orders, which answers when it
-//! should be there: at once if the order was given, else when it is. A request waits for what is known to
-//! come in time for it; for what nobody is known to load it is refused at once.
+//! A box that needs a missing model or adapter informs the holder of the order lease, which answers
+//! when the item is expected: at once if the order was given, else once it is. A request waits for
+//! an item that is expected in time, and is refused at once if no load of the item is known.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::Ipv4Addr;
@@ -21,20 +21,21 @@
 use super::overlay::EntryKind;
 use super::peer_socket::PeerSocket;
 
-/// How long a box that lacks something is told of it, in case its question came before the order.
+/// How long a box that needs an item is informed of orders for it, in case its request arrived
+/// before the order.
 const ASKER_TTL: Duration = Duration::from_secs(5);
 
-/// How long an adapter that was asked for takes to be there before any was measured: an order, the load
-/// and word of both.
+/// The assumed time until a requested adapter is loaded, before any measurement: an order, the
+/// load, and the messages of both.
 const INITIAL_ADAPTER_WAIT: Duration = Duration::from_millis(150);
 
-/// The weight of one measurement in the mean of such times.
+/// The weight of one measurement in the moving average of these times.
 const MEAN_WEIGHT: f64 = 0.1;
 
-/// How many times the mean an adapter is waited for.
+/// The multiple of the average for which an adapter is awaited.
 const ADAPTER_WAIT_FACTOR: f64 = 2.0;
 
-/// Word of an item that should be at an engine so many milliseconds from now.
+/// An item that is expected at an engine, in so many milliseconds from now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PendingItem {
     server: u32,
@@ -42,16 +43,16 @@
     eta_ms: u32,
 }
 
-/// What is lacking here, and who else lacks something.
+/// The items that this box needs, and the boxes that need items from this one.
 #[derive(Debug)]
 pub struct MissingItems {
-    /// What this box lacked since it last told.
+    /// The items missing at this box since it last reported them.
     own: Mutex<BTreeSet<ModelRef>>,
-    /// The boxes that asked for items that were not on their way.
+    /// The boxes that requested items that were not being loaded.
     askers: Mutex<HashMap<ModelRef, HashMap<Ipv4Addr, Moment>>>,
-    /// Told when something that was asked for is on its way.
+    /// Notified when the load of an item was ordered.
     item_ordered: Notify,
-    /// What has come on its way since askers were told.
+    /// The items that were ordered since the requesting boxes were last informed.
     ordered: Mutex<BTreeSet<ModelRef>>,
     adapter_wait_ms: Mutex<f64>,
 }
@@ -69,29 +70,29 @@
 }
 
 impl MissingItems {
-    /// Notes that this box lacks an item.
+    /// Records that an item is missing at this box.
     pub fn record(&self, item: &ModelRef) {
         self.own.lock().insert(item.clone());
     }
 
-    /// Returns what this box lacked since the last question.
+    /// Returns and clears the items recorded since the last call.
     pub fn take(&self) -> BTreeSet<ModelRef> {
         std::mem::take(&mut self.own.lock())
     }
 
-    /// Returns how long an adapter is waited for that this box has just asked for.
+    /// Returns how long a request waits for an adapter that this box has just requested.
     pub fn adapter_wait(&self) -> Duration {
         Duration::from_secs_f64(*self.adapter_wait_ms.lock() * ADAPTER_WAIT_FACTOR / 1_000.0)
     }
 
-    /// Notes how long one took, or for how long it was waited for in vain.
+    /// Records how long an adapter took, or how long it was awaited in vain.
     pub fn record_adapter_wait(&self, took: Duration) {
         let mut mean = self.adapter_wait_ms.lock();
         *mean += MEAN_WEIGHT * (took.as_secs_f64() * 1_000.0 - *mean);
     }
 }
 
-/// Notes, at the box that gave the order, that an item should be at an engine at a moment.
+/// Records at the box that gave the order when an item is expected at an engine.
 pub fn expect_item(node: &ServingNode, server: &BackendId, item: &ModelRef, at: Moment) {
     let kind = EntryKind::Pending(at);
     node.overlay.lock().record(server, item, kind, node.now());
@@ -99,7 +100,7 @@
     node.missing_items.item_ordered.notify_one();
 }
 
-/// Tells boxes that asked for what has come on its way, for as long as the box lives.
+/// Informs the boxes that requested items about the orders for them. Runs as long as the box does.
 pub async fn notify_askers(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     loop {
         node.missing_items.item_ordered.notified().await;
@@ -119,7 +120,7 @@
     }
 }
 
-/// Answers a box that lacks items: what is on its way, and later what will be.
+/// Answers a box that needs items: with what is being loaded now, and later with what is ordered.
 pub fn answer(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, items: &[ModelRef]) {
     let now = node.now();
     let mut known = Vec::new();
@@ -148,7 +149,7 @@
     pending.collect()
 }
 
-/// Takes in what the holder of the lease said is on its way.
+/// Applies the report of the order lease's holder on items that are being loaded.
 pub fn apply_report(node: &ServingNode, pending: &[PendingItem]) {
     let now = node.now();
     let names = node.names.lock();
--- a/trackfrontd/src/serving/order_holder.rs
+++ b/trackfrontd/src/serving/order_holder.rs
@@ -1,4 +1,4 @@
-//! Who gives orders, by its own word to this box or by way of others.
+//! The known holder of the order lease, by its own digests or by the reports of other boxes.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -9,14 +9,15 @@
 use super::messages::{HolderReport, LeaseReport};
 use super::peer_tracker::PEER_TIMEOUT;
 
-/// How long the giver of orders counts as alive after it spoke, where word of that came by way of another box.
+/// How long the holder counts as alive after its last digest, if that was reported by another box.
 const RELAYED_ALIVE_FOR: Duration = Duration::from_millis(2_500);
 
-/// What was last heard of who gives orders. The later of two words holds, however they came.
+/// The last known holder of the order lease. The later of two reports counts, whichever way it
+/// came.
 #[derive(Debug, Default)]
 pub struct KnownHolder {
     last: Option<Report>,
-    /// What it said of its right, by way of others.
+    /// The latest announcement of the lease that other boxes forwarded.
     relayed_announcement: Option<LeaseAnnouncement>,
 }
 
@@ -24,13 +25,13 @@
 struct Report {
     ip: Ipv4Addr,
     gives: bool,
-    /// When it said so, to this box or another.
+    /// When the holder announced this, to this box or to another.
     at: Moment,
     is_relayed: bool,
 }
 
 impl KnownHolder {
-    /// Notes what a box said to this one.
+    /// Records what a box announced to this one in its digest.
     pub fn receive(&mut self, ip: Ipv4Addr, gives: bool, now: Moment) {
         let was_giver = self.last.is_some_and(|last| last.ip == ip);
         if gives || was_giver {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Notes what another box, not the giver itself, told `me` of it.
+    /// Applies the report of another box on the holder. `me` is the address of this box.
     pub fn apply_report(&mut self, told: &HolderReport, me: Ipv4Addr, now: Moment) {
         let right = told.lease.map(|right| right.announcement(now));
         let known = self.relayed_announcement.map_or(0, |right| right.version);
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Returns what other boxes are told; `right` is what the giver said of its right to this box itself.
+    /// Returns the report for other boxes; `right` looks up the announcement that this box received
+    /// from the holder itself.
     pub fn report(
         &self,
         right: impl Fn(Ipv4Addr) -> Option<LeaseAnnouncement>,
@@ -65,14 +67,14 @@
         Some(HolderReport { ip: last.ip, holds_lease: last.gives, age_ms, lease: right })
     }
 
-    /// Returns the box that gives orders, if it lives by all that was heard.
+    /// Returns the holder of the order lease, if it counts as alive.
     pub fn live_holder(&self, now: Moment) -> Option<Ipv4Addr> {
         let last = self.last.filter(|last| last.gives)?;
         let timeout = if last.is_relayed { RELAYED_ALIVE_FOR } else { PEER_TIMEOUT };
         (now.since(last.at) < timeout).then_some(last.ip)
     }
 
-    /// Returns what was told of the right of who gives orders by way of others.
+    /// Returns the latest announcement of the lease that other boxes forwarded.
     pub fn relayed_announcement(&self) -> Option<LeaseAnnouncement> {
         self.relayed_announcement
     }
--- a/trackfrontd/src/serving/order_task.rs
+++ b/trackfrontd/src/serving/order_task.rs
@@ -1,5 +1,6 @@
-//! Carries the orders to one engine out: announce what will leave, read the engine's report, check
-//! each order against it, look at the lease last thing, send, and wait until it is done.
+//! Executes the orders for one engine: announces what will be withdrawn, reads the engine's report,
+//! checks each order against it, checks the lease right before sending, and waits until the order
+//! is done.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,83 +30,86 @@
 use super::overlay::EntryKind;
 use super::permits;
 
-/// How long nodes are given to hear that a model will leave.
+/// The time for other boxes to learn that a model is withdrawn, before it is unloaded.
 const MODEL_WITHDRAWAL_NOTICE: Duration = Duration::from_millis(150);
 
-/// How long nodes are given to hear that an adapter will leave that is asked for little.
+/// The time for other boxes to learn that a rarely used adapter is withdrawn, before it is
+/// unloaded.
 const ADAPTER_WITHDRAWAL_NOTICE: Duration = Duration::from_millis(30);
 
-/// How long an adapter takes to come in at most, as a rule. Nodes are told of it after this time
-/// rather than when a report shows it: reports lag, and an engine without it refuses the request.
+/// The usual maximum time to load an adapter. Other boxes are informed after this time rather than
+/// once a report shows the adapter: reports lag, and an engine without the adapter refuses the
+/// request.
 const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(50);
 
-/// How long an engine is left alone after an order that did not go as planned.
+/// How long an engine gets no orders after one that failed.
 const REST_AFTER_FAULT: Duration = Duration::from_millis(700);
 
-/// How often an engine is asked whether a load or unload of a model is done: its reports are some
-/// tenths of a second old.
+/// The interval of polls for a model's load or unload; an engine's reports are some tenths of a
+/// second old.
 const MODEL_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The first pause before an engine is asked whether it has an adapter; it doubles each time.
+/// The first delay before an engine is polled for an adapter; it doubles each time.
 const FIRST_ADAPTER_POLL: Duration = Duration::from_millis(100);
 
-/// How many times a load may take what the configuration says, until the order is given up.
+/// The multiple of the configured load time after which an order is given up.
 const MAX_LOAD_TIMES: u32 = 4;
 
-/// The least time that any order may take.
+/// The minimum time for any order about a model before it is given up.
 const MIN_ORDER_WAIT: Duration = Duration::from_secs(15);
 
-/// How long orders about adapters are waited for: an adapter in use leaves only with its requests.
+/// The maximum wait for orders about adapters: an adapter in use is unloaded only after its
+/// requests end.
 const MAX_ADAPTER_WAIT: Duration = Duration::from_millis(1_500);
 
-/// How long a report may take.
+/// The timeout for reading a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long a turn at an engine with a limit is waited for.
+/// The maximum wait for a permit at an engine with a limit.
 const MAX_PERMIT_WAIT: Duration = Duration::from_millis(1_000);
 
-/// How long a connection to an engine may take to open.
+/// The timeout for opening a connection to an engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Why an order has no effect that was meant for a run that is over.
+/// The outcome of an order for an incarnation of the engine that has ended.
 const OTHER_INCARNATION: &str = "the engine has started again";
 
-/// How large an engine's report may be, in bytes.
+/// The maximum size of an engine's report.
 const MAX_REPORT_BYTES: usize = 256 * 1024;
 
-/// The right to call an engine, with a turn there if it has named a limit.
+/// Allows one call to an engine; it holds a permit if the engine named a limit.
 #[derive(Clone, Copy)]
 struct CallPermit {
     permit: Option<Permit>,
 }
 
-/// Orders that an engine took.
+/// The orders that an engine accepted.
 struct AcceptedOrders<'a> {
     proposals: Vec<&'a Proposal>,
-    /// How many orders the engine has taken then.
+    /// The engine's order count after these orders.
     sequence: u64,
-    /// How long the load of a model should take, by where its weights are; zero for other orders.
+    /// The expected time to load the model, by where its weights are; zero for other orders.
     load_time: Duration,
 }
 
-/// Orders to one engine on their way: one for a model, or some for adapters.
+/// Executes orders to one engine: one for a model, or several for adapters.
 pub struct OrderTask {
-    /// The node.
+    /// The state of this box.
     pub node: Arc<ServingNode>,
-    /// The right to give orders.
+    /// The fencing token of the order lease.
     pub order_fence: Arc<OrderFence>,
-    /// What is under way at all engines.
+    /// The orders in progress at all engines.
     pub tracker: Arc<Mutex<OrderTracker>>,
-    /// The engines' figures.
+    /// The configuration of the engines.
     pub spec: EngineSpec,
-    /// The engine.
+    /// The engine, as known when the orders were planned.
     pub server: Arc<KnownServer>,
     /// The orders.
     pub proposals: Vec<Proposal>,
 }
 
 impl OrderTask {
-    /// Carries the orders out and notes that the engine can get others.
+    /// Executes the orders, then marks the engine as available for others.
     pub async fn run(self) {
         let done = self.execute().await;
         let now = self.node.now();
@@ -126,7 +130,7 @@
         &self.server.entry.id
     }
 
-    /// Carries the orders out. Returns whether they went as planned.
+    /// Executes the orders. Returns whether all succeeded.
     async fn execute(&self) -> bool {
         let leaving = self.proposals.iter().filter(|one| one.operation == Operation::Unload);
         let leaving: Vec<&Proposal> = leaving.collect();
@@ -151,7 +155,7 @@
         done
     }
 
-    /// Tells all nodes what happens to items.
+    /// Announces a change of items to all boxes.
     fn announce(&self, proposals: &[&Proposal], kind: EntryKind) {
         let now = self.node.now();
         let mut overlay = self.node.overlay.lock();
@@ -163,7 +167,7 @@
         self.node.digest_requested.notify_one();
     }
 
-    /// Gives the orders one after the other, as far as the engine takes them.
+    /// Sends the orders one after the other until one isn't accepted.
     async fn order_all(&self) -> AcceptedOrders<'_> {
         let mut accepted =
             AcceptedOrders { proposals: Vec::new(), sequence: 0, load_time: Duration::ZERO };
@@ -201,12 +205,13 @@
                 self.record_expected(&proposal.item, load_time);
             }
             accepted.proposals.push(proposal);
-            // It goes once the requests that use it have ended; nothing can take its place before.
+            // The adapter is unloaded once the requests that use it have ended; nothing can take
+            // its place before.
             let waits = proposal.operation == Operation::Unload && answer == OrderAnswer::Taken;
             if waits && proposal.item.adapter.is_some() {
                 break;
             }
-            // The next order is checked against the memory as this one leaves it at the most.
+            // The next order is checked against the memory that this one leaves at most.
             report.sequence += 1;
             apply_to_report(&mut report, proposal);
         }
@@ -214,7 +219,7 @@
         accepted
     }
 
-    /// Notes when what was ordered should be there, for boxes that lack it.
+    /// Records when an ordered item is expected, for boxes that need it.
     fn record_expected(&self, item: &ModelRef, load_time: Duration) {
         let wait = match item.adapter {
             Some(_) => ADAPTER_LOAD_TIME,
@@ -223,7 +228,8 @@
         missing_items::expect_item(&self.node, self.id(), item, self.node.now() + wait);
     }
 
-    /// Takes a load off the weight store's rate, if it comes from there.
+    /// Counts a load against the weight store's rate, if the weights come from there. Returns
+    /// whether the load may start.
     fn may_load(&self, proposal: &Proposal, report: &EngineReport) -> bool {
         let Proposal { operation, item, .. } = proposal;
         let from_store = *operation == Operation::Load
@@ -258,7 +264,7 @@
             expected_sequence: report.sequence,
         };
         let server = &self.server.entry;
-        // A new connection each time: nothing that was written earlier can arrive behind it.
+        // A new connection for each order, so that nothing written earlier can arrive after it.
         let options = SendOptions { connect_time: CONNECT_TIMEOUT, max_idle: Duration::ZERO };
         let may_order =
             || self.order_fence.usable(self.node.now()) == Some(fence) && self.may_call(permit);
@@ -279,8 +285,8 @@
         }
     }
 
-    /// Waits until the orders are done, and tells all nodes of each as it is. Returns whether all
-    /// are.
+    /// Waits until the orders are done, and announces each to all boxes. Returns whether all were
+    /// done.
     async fn wait_until_done(&self, accepted: &AcceptedOrders<'_>) -> bool {
         let mut open = accepted.proposals.clone();
         if open.is_empty() {
@@ -307,7 +313,8 @@
             if open.is_empty() {
                 return true;
             }
-            // What an engine with a limit holds its row tells, later: each question would take the place of a request.
+            // What an engine with a limit holds is read from its row, though later: each poll would
+            // take the place of a client's request.
             let report = if self.limit().is_none() { self.read_report().await } else { None };
             if let Some(other) = report.as_ref().filter(|it| it.is_of_other_run(&self.server.entry))
             {
@@ -316,7 +323,7 @@
                 }
                 return false;
             }
-            // A report that is from before the orders says nothing about them.
+            // A report from before the orders says nothing about them.
             if let Some(report) = report.filter(|it| it.sequence >= accepted.sequence) {
                 self.remove_done(&mut open, Some(&report.models));
                 if open.is_empty() {
@@ -335,7 +342,7 @@
         false
     }
 
-    /// Tells all nodes of adapters that should be there by now.
+    /// Announces adapters that should be loaded by now.
     async fn announce_adapters(&self, taken: &[&Proposal]) {
         sleep(ADAPTER_LOAD_TIME).await;
         let loads = taken.iter().copied().filter(|one| one.operation == Operation::Load);
@@ -345,7 +352,8 @@
         }
     }
 
-    /// How long the load of a model takes by where the engine has its weights; zero for other orders.
+    /// Returns the time to load the model, by where the engine has its weights; zero for other
+    /// orders.
     fn load_time(&self, proposal: &Proposal, report: &EngineReport) -> Duration {
         let Proposal { operation, item, .. } = proposal;
         let spec = self.spec.models.get(&item.model);
@@ -355,7 +363,8 @@
         })
     }
 
-    /// Takes those that are done by `models` off `open`, and tells all nodes what was added.
+    /// Removes the orders from `open` that are done according to `models`, and announces added
+    /// items.
     fn remove_done(&self, open: &mut Vec<&Proposal>, models: Option<&Residents>) {
         let Some(models) = models else {
             return;
@@ -374,19 +383,19 @@
         self.node.directory.lock().get(self.id()).is_none()
     }
 
-    /// What the engine's row says that it holds, if the row is newer than the orders.
+    /// Returns what the engine holds according to its row, if the row is newer than the orders.
     fn row_residents(&self) -> Option<Residents> {
         let known = self.node.directory.lock().get(self.id()).cloned()?;
         (known.version > self.server.version).then(|| known.entry.models.clone())
     }
 
-    /// Returns the limit that the engine named, in requests a second.
+    /// Returns the limit that the engine named, in requests per second.
     fn limit(&self) -> Option<f64> {
         self.node.notices.lock().limit_per_s(self.id())
     }
 
-    /// Waits until the engine may be sent what is for no client, which comes out of what it takes for clients; `None` if
-    /// it may not be sent that for now.
+    /// Waits until the engine may be sent a call that serves no client, which counts against its
+    /// limit for clients; `None` if it may not be called now.
     async fn wait_for_call_permit(&self) -> Option<CallPermit> {
         let now = self.node.now();
         if self.node.notices.lock().backoff_until(self.id(), now).is_some() {
@@ -399,12 +408,13 @@
         Some(CallPermit { permit })
     }
 
-    /// Returns whether a right still stands.
+    /// Returns whether the engine may still be called with `permit`.
     fn may_call(&self, permit: CallPermit) -> bool {
         self.node.notices.lock().admits(self.id(), permit.permit, self.node.now())
     }
 
-    /// Hears what the engine says of itself in an answer that is for no client. That it names no limit there says nothing.
+    /// Records the notices in an answer to a call that serves no client. A missing limit in such an
+    /// answer has no meaning.
     fn observe_head(&self, answer: &UpstreamAnswer, sent: Moment) {
         let head = self.node.ports.servers.read_head(&answer.head);
         let source = NoticeSource { sent, is_answer: false };
@@ -427,7 +437,7 @@
         let body = match timeout(REPORT_TIMEOUT, reading).await {
             Ok(Ok(body)) => body,
             Ok(Err(error)) => {
-                log::info!(server:% = server.id, error:% = error; "report not read");
+                log::info!(server:% = server.id, error:% = error; "engine report not read");
                 match error {
                     UpstreamError::NotSent(_) => {
                         self.node.loads.lock().mark_unreachable(&server.id, self.node.now());
@@ -441,7 +451,7 @@
             }
             Err(_) => {
                 self.node.pool.forget(&server.address);
-                log::info!(server:% = server.id; "report not read in time");
+                log::info!(server:% = server.id; "engine report timed out");
                 return None;
             }
         };
@@ -453,7 +463,7 @@
                 Some(report)
             }
             Err(cause) => {
-                log::warn!(server:% = server.id, cause; "report not understood");
+                log::warn!(server:% = server.id, cause; "invalid engine report");
                 None
             }
         }
@@ -475,7 +485,7 @@
     }
 }
 
-/// Notes an order to an adapter in a report, for the check of the next order.
+/// Applies an order for an adapter to a report, for the check of the next order.
 fn apply_to_report(report: &mut EngineReport, proposal: &Proposal) {
     let Some(adapter) = &proposal.item.adapter else {
         return;
@@ -491,7 +501,7 @@
     }
 }
 
-/// Returns whether what a proposal asks for is so by what the engine holds.
+/// Returns whether a proposal is already fulfilled by what the engine holds.
 fn is_done(proposal: &Proposal, models: &Residents) -> bool {
     let item = &proposal.item;
     let resident = models.get(&item.model);
--- a/trackfrontd/src/serving/order_tracker.rs
+++ b/trackfrontd/src/serving/order_tracker.rs
@@ -1,4 +1,4 @@
-//! What the giver of orders has under way at each engine, and how the planner sees it.
+//! The orders in progress at each engine, and the planner's view of the engines.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -9,63 +9,65 @@
 use trackfront_core::serving::planner::EngineView;
 use trackfront_core::units::Moment;
 
-/// What is under way at an engine.
+/// The orders in progress at an engine.
 #[derive(Clone, Debug, Default)]
 pub struct EngineOrders {
-    /// Whether a task gives it orders.
+    /// Whether a task is giving orders to the engine.
     pub working: bool,
-    /// The model that is on its way in, or has its place promised.
+    /// The model that is being loaded, or for which room is being made.
     pub loading: Option<ModelName>,
-    /// The model that is on its way out.
+    /// The model that is being unloaded.
     pub leaving: Option<ModelName>,
-    /// Whether a load is about to be ordered that may take from the weight store.
+    /// Whether a load that may read from the weight store is about to be ordered.
     pub awaits_load: bool,
-    /// Until when it is left alone.
+    /// The time until which the engine gets no orders.
     pub rest_until: Moment,
-    /// Its last report, and when that was asked for.
+    /// The engine's last report, and when it was requested.
     pub report: Option<(EngineReport, Moment)>,
 }
 
-/// How long an order that was not answered may still be carried out: the engine may do so seconds later.
+/// How long an unanswered order may still be executed; an engine may do so seconds later.
 const STALE_ORDER_WINDOW: Duration = Duration::from_secs(15);
 
-/// What is under way at all engines.
+/// The orders in progress at all engines.
 pub struct OrderTracker {
-    /// By engine.
+    /// The orders in progress, by engine.
     pub engines: HashMap<BackendId, EngineOrders>,
-    /// The rate of loads from the weight store.
+    /// Limits the rate of loads from the weight store.
     pub pacer: LoadPacer,
-    /// Orders that were not answered: the run that they were meant for, and until when they may be carried out.
+    /// Unanswered orders: the incarnation that they were meant for, and until when they may be
+    /// executed.
     unanswered: HashMap<ServerKey, (BackendId, Moment)>,
 }
 
 impl OrderTracker {
-    /// Makes an empty one.
+    /// Creates a tracker without orders in progress.
     pub fn new(pacer: LoadPacer) -> Self {
         Self { engines: HashMap::new(), pacer, unanswered: HashMap::new() }
     }
 
-    /// Notes that no answer came to an order.
+    /// Records that an order got no answer.
     pub fn record_unanswered(&mut self, server: &ServerEntry, now: Moment) {
         let until = now + STALE_ORDER_WINDOW;
         self.unanswered.insert(server.key.clone(), (server.id.clone(), until));
     }
 
-    /// Returns whether an order that was meant for an earlier run of a server may still be carried out by this one.
-    /// It names a count of orders taken, which starts anew; with no order of ours it stays at 0, where what may
-    /// come finds an empty engine, whose memory any load fits.
+    /// Returns whether an order for an earlier incarnation of a server may still be executed by
+    /// this one. An order names the server's order count, which starts anew with each incarnation.
+    /// As long as this box gives the new incarnation no order, the count stays at 0, and a late
+    /// order meets an empty engine, whose memory fits any load.
     pub fn may_receive_stale_order(&self, server: &ServerEntry, now: Moment) -> bool {
         let unanswered = self.unanswered.get(&server.key);
         unanswered.is_some_and(|(run, until)| *run != server.id && now < *until)
     }
 
-    /// Drops what is over.
+    /// Drops unanswered orders that can no longer be executed.
     pub fn forget_old(&mut self, now: Moment) {
         self.unanswered.retain(|_, (_, until)| now < *until);
     }
 }
 
-/// Returns an engine as the planner should see it: by its report if that is newer than its row.
+/// Returns the planner's view of an engine: by its report if that is newer than its row.
 pub fn view(server: &KnownServer, engine_orders: &EngineOrders, now: Moment) -> EngineView {
     let entry = &server.entry;
     let report = engine_orders
--- a/trackfrontd/src/serving/overlay.rs
+++ b/trackfrontd/src/serving/overlay.rs
@@ -1,4 +1,5 @@
-//! What the holder of the lease on orders told of engines before their own rows say so.
+//! Changes at engines that the holder of the order lease announced and that the engines' rows don't
+//! show yet.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,19 +16,19 @@
 
 use super::cold::ColdView;
 
-/// How long a note counts after it was last told, or after what it says should have come. Rows say the
-/// same by then.
+/// How long an entry is valid after its last announcement, or after the expected time that it
+/// names. By then the rows show the change.
 const ENTRY_TTL: Duration = Duration::from_millis(2_500);
 
-/// What a note says.
+/// The kind of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EntryKind {
     /// The item is about to be unloaded.
     Withdrawn,
     /// The item was loaded.
     Added,
-    /// The item should be there at this moment. An adapter is used from then on; whether a model has
-    /// come is told.
+    /// The item is expected at this time. An adapter is used from then on; a model only once its
+    /// load is announced.
     Pending(Moment),
 }
 
@@ -37,14 +38,14 @@
     until: Moment,
 }
 
-/// Notes about items on engines.
+/// The announced changes of items on engines.
 #[derive(Debug, Default)]
 pub struct Overlay {
     entries: HashMap<BackendId, HashMap<ModelRef, Entry>>,
 }
 
 impl Overlay {
-    /// Takes a note.
+    /// Records a change.
     pub fn record(&mut self, server: &BackendId, item: &ModelRef, kind: EntryKind, now: Moment) {
         let from = match kind {
             EntryKind::Pending(at) => at.max(now),
@@ -54,14 +55,14 @@
         self.entries.entry(server.clone()).or_default().insert(item.clone(), entry);
     }
 
-    /// Drops a note.
+    /// Drops the entry for an item.
     pub fn clear(&mut self, server: &BackendId, item: &ModelRef) {
         if let Some(entries) = self.entries.get_mut(server) {
             entries.remove(item);
         }
     }
 
-    /// Drops notes that were not told again for long.
+    /// Drops entries that were not announced again in time.
     pub fn forget_old(&mut self, now: Moment) {
         for entries in self.entries.values_mut() {
             entries.retain(|_, entry| now < entry.until);
@@ -69,7 +70,7 @@
         self.entries.retain(|_, entries| !entries.is_empty());
     }
 
-    /// Returns what was added and withdrawn.
+    /// Returns the added and withdrawn items.
     pub fn all(&self) -> impl Iterator<Item = (&BackendId, &ModelRef, EntryKind)> {
         let all = self.entries.iter().flat_map(|(server, entries)| {
             entries.iter().map(move |(item, entry)| (server, item, entry.kind))
@@ -77,7 +78,8 @@
         all.filter(|(_, _, kind)| !matches!(kind, EntryKind::Pending(_)))
     }
 
-    /// Returns the engines to which the model of an item was added, or should have been, before their rows say so.
+    /// Returns the engines to which the model of an item was added, or is expected to be, before
+    /// their rows show it.
     pub fn added_to<'a>(&'a self, item: &'a ModelRef) -> impl Iterator<Item = &'a BackendId> {
         let is_added = |(of, entry): (&ModelRef, &Entry)| {
             of.model == item.model && entry.kind != EntryKind::Withdrawn
@@ -86,7 +88,7 @@
         engines.filter(move |(_, entries)| entries.iter().any(is_added)).map(|(server, _)| server)
     }
 
-    /// Returns when an item should be there, on the engine that has it first.
+    /// Returns the earliest time at which an engine is expected to hold an item.
     pub fn expected_at(&self, item: &ModelRef) -> Option<Moment> {
         let entries = self.entries.values().filter_map(|entries| entries.get(item));
         let coming = entries.filter_map(|entry| match entry.kind {
@@ -96,7 +98,7 @@
         coming.min()
     }
 
-    /// Returns the engines on which an item should be there, and when.
+    /// Returns the engines that are expected to hold an item, and when.
     pub fn pending<'a>(
         &'a self,
         item: &'a ModelRef,
@@ -112,20 +114,20 @@
     }
 }
 
-/// What is known of servers beside their rows, as a choice sees it.
+/// The view of servers for a choice, beyond what their rows contain.
 #[derive(Clone, Copy)]
 pub struct NodeView<'a> {
-    /// The notes.
+    /// Announced changes of items.
     pub overlay: &'a Overlay,
-    /// The connections.
+    /// The connection pool.
     pub pool: &'a UpstreamPool,
     /// The cold servers.
     pub cold: ColdView<'a>,
-    /// What servers said of themselves.
+    /// What servers announced about themselves.
     pub notices: &'a NoticeTracker,
-    /// When turns may be asked for at servers with a limit; `None` where they are waited for.
+    /// When permits may be requested from servers with a limit; `None` where permits are awaited.
     pub gates: Option<&'a PermitGates>,
-    /// The present moment.
+    /// The present time.
     pub now: Moment,
 }
 
--- a/trackfrontd/src/serving/placement.rs
+++ b/trackfrontd/src/serving/placement.rs
@@ -1,7 +1,7 @@
-//! Gives orders to engines while this node holds the lease on them.
+//! Gives orders to engines while this box holds the order lease.
 //!
-//! Each round plans from what the engines hold and what all nodes are asked for. Each engine gets
-//! its orders from a task of its own.
+//! Each round makes a plan from what the engines hold and from the demand at all boxes. The orders
+//! to each engine are executed by a task of their own.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -27,33 +27,34 @@
 use super::order_task::OrderTask;
 use super::order_tracker::{OrderTracker, view};
 
-/// How often a plan is made.
+/// The maximum interval between two plans.
 const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The least time between two plans.
+/// The minimum interval between two plans.
 const MIN_ROUND_GAP: Duration = Duration::from_millis(15);
 
-/// How many times as long as a plan took nothing is planned after it: a box that plans for thousands of engines still
-/// answers requests, and hears others.
+/// The pause after planning, in multiples of the time that planning took: a box that plans for
+/// thousands of engines must still answer requests and receive messages.
 const PAUSE_PER_PLANNING_TIME: u32 = 4;
 
-/// The longest such pause: the machine may have been suspended while it planned.
+/// The maximum pause after planning: the machine may have been suspended while it planned.
 const MAX_PAUSE: Duration = Duration::from_millis(2_000);
 
-/// How often the inputs of a plan are logged.
+/// The interval at which the inputs of a plan are logged.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How many models such a line names at most.
+/// The maximum number of models in such a log line.
 const SUMMARY_MODELS: usize = 12;
 
-/// How long it takes as a rule until a model that gives way has left: it is withdrawn for 150 ms, and its
+/// The usual time until a model that makes room is unloaded: it is withdrawn for 150 ms, and its
 /// requests in progress end.
 const EVICTION_TIME: Duration = Duration::from_millis(1_000);
 
-/// How long an engine that fails requests is taken to hold nothing, before it is planned without.
+/// How long an engine that fails requests still counts as holding its models, before the plan
+/// excludes it.
 const UNREACHABLE_GRACE: Duration = Duration::from_millis(700);
 
-/// The giver of orders.
+/// Plans and gives orders while this box holds the order lease.
 pub struct Placement {
     node: Arc<ServingNode>,
     lease: OrderLease,
@@ -61,12 +62,12 @@
     tracker: Arc<Mutex<OrderTracker>>,
     tasks: JoinSet<()>,
     summary_logged_at: Moment,
-    /// How long the last plan of all services took.
+    /// The time that the last planning of all services took.
     planning_time: Duration,
 }
 
 impl Placement {
-    /// Makes a giver that holds no lease.
+    /// Creates a placement that doesn't hold the lease.
     pub fn new(node: Arc<ServingNode>, giving: Arc<HoldsOrderLease>) -> Self {
         let order_fence = Arc::new(OrderFence::default());
         let lease = OrderLease::new(node.clone(), order_fence.clone(), giving);
@@ -77,7 +78,7 @@
         Self { node, lease, order_fence, tracker, tasks, summary_logged_at, planning_time }
     }
 
-    /// Plans and gives orders until the node stops, then gives the lease up.
+    /// Plans and gives orders until the box stops, then releases the lease.
     pub async fn run(mut self) {
         while !self.node.is_stopping() {
             let lacking = self.node.missing_item_added.notified();
@@ -113,8 +114,8 @@
         }
         let now = self.node.now();
         if !was_holder {
-            // What an earlier tenure began has no right any more, and its end is not to be taken for
-            // the end of what this one begins.
+            // Tasks of an earlier tenure have no valid fencing token any more, and their end must
+            // not be taken for the end of tasks of this tenure.
             self.tasks.abort_all();
             let mut tracker = self.tracker.lock();
             tracker.pacer = LoadPacer::new(self.node.settings.load().promises.loads(), now);
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Returns whether there are engines to give orders to, and the list of them is whole.
+    /// Returns whether there are engines to give orders to, and the list of them is complete.
     fn knows_engines(&self, placed: &[(ServiceName, EngineSpec)]) -> bool {
         let directory = self.node.directory.lock();
         let some = placed.iter().any(|(service, _)| !directory.of_service(service).is_empty());
@@ -148,7 +149,7 @@
         tracker.forget_old(now);
         let mut views = Vec::with_capacity(servers.len());
         let evacuations = self.node.evacuations.lock();
-        // Nothing is sent to servers of a hall that is emptied, so what they hold is missing.
+        // Servers of an evacuated hall get no requests, so what they hold counts as missing.
         let is_used = |server: &&Arc<KnownServer>| {
             self.node.accepts_new(server) && !evacuations.is_evacuated(&server.entry.zone)
         };
@@ -182,7 +183,8 @@
         planned.proposals
     }
 
-    /// Returns the engines that take their part of what is asked for, and whether each wants nothing from this box now.
+    /// Returns the engines that take part in serving the demand, and whether each has asked this
+    /// box to back off.
     fn participating<'a>(
         &self,
         engines: Vec<&'a Arc<KnownServer>>,
@@ -201,7 +203,7 @@
         all.map(|(server, _)| (server, backs_off(server))).collect()
     }
 
-    /// Starts the task that carries the proposals for one engine out.
+    /// Starts the task that executes the proposals for one engine.
     fn start_task(&mut self, engine: &BackendId, proposals: Vec<Proposal>, spec: &EngineSpec) {
         let Some(server) = self.node.directory.lock().get(engine).cloned() else {
             return;
@@ -239,8 +241,8 @@
 }
 
 impl Placement {
-    /// Notes when the models that were proposed should be there, for boxes that lack them. The orders'
-    /// answers make it more exact.
+    /// Records when the proposed models are expected, for boxes that need them. The answers to the
+    /// orders refine these times.
     fn record_expected(&self, server: &KnownServer, proposals: &[Proposal], spec: &EngineSpec) {
         for proposal in proposals.iter().filter(|proposal| proposal.item.adapter.is_none()) {
             let (model_name, eviction_time) = match (proposal.operation, &proposal.makes_room_for) {
@@ -260,7 +262,7 @@
     }
 }
 
-/// Logs what a plan was made from: for each model that counts, demand, copies and copies wanted.
+/// Logs the inputs of a plan: demand, copies and wanted copies of each model in it.
 fn log_summary(service: &ServiceName, engines: usize, idle: usize, planned: &Planned) {
     let models = planned
         .models
@@ -272,7 +274,7 @@
     log::info!(service:%, engines, idle, proposals, models; "plan");
 }
 
-/// Puts the proposals for each engine together, in order.
+/// Groups the proposals by engine, in order.
 fn by_engine(proposals: Vec<Proposal>) -> BTreeMap<BackendId, Vec<Proposal>> {
     let mut grouped: BTreeMap<BackendId, Vec<Proposal>> = BTreeMap::new();
     for proposal in proposals {
--- a/trackfrontd/tests/order_tracker.rs
+++ b/trackfrontd/tests/order_tracker.rs
@@ -1,4 +1,4 @@
-//! What the giver of orders believes of an engine that started again under its key.
+//! The order tracker's view of an engine that restarted under the same key.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -20,7 +20,7 @@
     names.iter().map(held).collect()
 }
 
-/// A run that started at some second and holds nothing.
+/// An incarnation that started at the given second and holds no models.
 fn run(started: u64) -> KnownServer {
     let entry = ServerEntry {
         id: format!("x@{started}").into(),
