--- a/trackfrontd/src/serving/crashes/mod.rs
+++ b/trackfrontd/src/serving/crashes/mod.rs
@@ -1,8 +1,8 @@
-//! Requests that crash the servers which run them, and servers that have ended, known to all boxes.
+//! Requests that crash the servers that run them, and ended servers, shared among all boxes.
 //!
-//! What one box learns of either the others know before the next try comes to them. [`outbox`] tells them, [`rows`]
-//! keeps what is held off in the platform's table and hands it to boxes that start;
-//! [`trackfront_core::serving::crashes`] decides.
+//! What one box learns about either reaches the others before the client's next try does.
+//! [`outbox`] sends it, [`rows`] stores quarantined requests in the platform's table and provides
+//! them to boxes that start; [`trackfront_core::serving::crashes`] makes the decisions.
 
 pub mod operators;
 pub mod outbox;
@@ -34,34 +34,36 @@
 use super::node::{ServingNode, short_server};
 use super::quota::box_id;
 
-/// How long after a connection broke the server is looked at: by then a process that ends listens no more.
+/// The delay after a broken connection before the server is probed; a process that ends no longer
+/// listens by then.
 const PROBE_DELAY: Duration = Duration::from_millis(30);
 
-/// How long a connection may take to open there.
+/// The timeout for opening the probe's connection.
 const PROBE_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How many boxes count the crashes of one request. With each of them lost one after the other the count is lost.
+/// The number of boxes that count the crashes of one request. The count is lost if they are lost
+/// one after the other.
 const COORDINATORS: usize = 3;
 
-/// What a box knows of requests that crash servers, and what it has yet to tell.
+/// A box's state about requests that crash servers, and the reports that it has yet to send.
 #[derive(Default)]
 pub struct Crashes {
     tracker: Mutex<CrashTracker>,
     outbox: Mutex<Outbox>,
-    /// The servers that are looked at now.
+    /// The servers that are being probed.
     probing: Mutex<HashSet<BackendId>>,
-    /// Told when there is something to tell.
+    /// Notified when there is something to send.
     outbox_changed: Notify,
-    /// Told when something is held off.
+    /// Notified when a request is quarantined.
     quarantine_changed: Notify,
-    /// Requests that were let go here, whose rows are to be removed.
+    /// Requests that were released at this box, whose rows are to be removed.
     rows_to_remove: Mutex<Vec<Fingerprint>>,
-    /// Whether this box knows what was held off before it started.
+    /// Whether this box has loaded the requests that were quarantined before it started.
     is_loaded: AtomicBool,
 }
 
 impl Crashes {
-    /// Returns how many servers a request crashed, if it is held off.
+    /// Returns how many servers a request crashed, if it is quarantined.
     pub fn quarantined(&self, fingerprint: Fingerprint) -> Option<usize> {
         let tracker = self.tracker.lock();
         tracker
@@ -69,18 +71,18 @@
             .then(|| tracker.report(fingerprint).map_or(0, CrashReport::crashes))
     }
 
-    /// Returns whether a request may well be one that crashes servers.
+    /// Returns whether a request is suspected of crashing servers.
     pub fn is_suspect(&self, fingerprint: Fingerprint, now: Moment) -> bool {
         self.tracker.lock().is_suspect(fingerprint, now)
     }
 
-    /// Returns what is held off, and since when.
+    /// Returns the quarantined requests, and since when each is.
     pub fn all_quarantined(&self) -> Vec<(CrashReport, Moment)> {
         let tracker = self.tracker.lock();
         tracker.quarantined().map(|(report, since)| (report.clone(), since)).collect()
     }
 
-    /// Notes that a run of a server answered.
+    /// Records that an incarnation of a server answered.
     pub fn record_alive(&self, server: &BackendId, now: Moment) {
         self.tracker.lock().mark_alive(incarnation_id(server), now);
     }
@@ -94,18 +96,19 @@
     IncarnationId(short_server(server))
 }
 
-/// Returns whether a request may be sent, though it is held off, to see whether it really is what crashes servers.
+/// Returns whether a quarantined request may be sent as a trial, to find out whether it really
+/// crashes servers.
 pub fn take_trial(node: &ServingNode, fingerprint: Fingerprint) -> bool {
     let me = node.settings.load().node.ip;
     let is_first = coordinators_of(node, fingerprint).first() == Some(&me);
     let tries = is_first && node.crashes.tracker.lock().start_trial(fingerprint, node.now());
     if tries {
-        log::info!(fingerprint:%; "held off request tried once more");
+        log::info!(fingerprint:%; "quarantined request sent as a trial");
     }
     tries
 }
 
-/// Returns the boxes that count the crashes of a request, this one perhaps among them.
+/// Returns the boxes that count the crashes of a request; this box may be one of them.
 fn coordinators_of(node: &ServingNode, fingerprint: Fingerprint) -> Vec<Ipv4Addr> {
     let me = node.settings.load().node.ip;
     let others = node.peers.lock().reachable(node.now());
@@ -114,7 +117,8 @@
     ranked.into_iter().take(COORDINATORS).map(|BoxId(bits)| Ipv4Addr::from_bits(bits)).collect()
 }
 
-/// Notes that the connection broke under a request that a server worked on, and has the server looked at.
+/// Records that the connection to a server broke while a request was in flight, and probes the
+/// server.
 pub fn connection_broke(
     node: &Arc<ServingNode>,
     request: &RequestId,
@@ -122,7 +126,7 @@
     server: &Arc<KnownServer>,
 ) {
     let id = &server.entry.id;
-    // A server that leaves breaks off what it does not finish.
+    // A leaving server cuts off the answers that it cannot finish.
     let known = node.directory.lock().get(id).cloned();
     if known.is_some_and(|known| !node.accepts_new(&known)) {
         return;
@@ -142,7 +146,7 @@
     }
 }
 
-/// Looks whether a server still listens. A connection that opens is kept for the next request.
+/// Checks whether a server still listens. If the connection opens, it is kept for the next request.
 async fn probe(node: Arc<ServingNode>, server: Arc<KnownServer>) {
     sleep(PROBE_DELAY).await;
     let (id, address) = (&server.entry.id, &server.entry.address);
@@ -154,8 +158,9 @@
     node.crashes.probing.lock().remove(id);
 }
 
-/// Notes that nobody listens at a server's address, and has the other boxes told. With four of eight servers down 50 of 50
-/// requests at six boxes are answered, where each box found out by itself 26 (`platform/tests/crashes.rs`).
+/// Records that no process listens at a server's address, and informs the other boxes. With four of
+/// eight servers down, 50 of 50 requests at six boxes are answered; if each box found out by
+/// itself, 26 were (`platform/tests/crashes.rs`).
 pub fn connection_refused(node: &ServingNode, server: &BackendId) {
     let now = node.now();
     let is_new = node.crashes.outbox.lock().add_ended(server, now);
@@ -165,7 +170,7 @@
     }
 }
 
-/// Notes that a server's row went, or that a later run of it wrote another.
+/// Records that a server's row was removed, or replaced by that of a later incarnation.
 pub fn server_left(node: &ServingNode, server: &BackendId) {
     let learned = node.crashes.tracker.lock().mark_ended(incarnation_id(server), node.now());
     for (fingerprint, what) in learned {
@@ -173,7 +178,8 @@
     }
 }
 
-/// Notes that a run of a server has ended: what broke there was a crash.
+/// Records that an incarnation of a server has ended, so that connections which broke there count
+/// as crashes.
 pub fn server_ended(node: &ServingNode, server: &BackendId, evidence: &'static str) {
     let now = node.now();
     node.loads.lock().mark_ended(server, now);
@@ -190,20 +196,20 @@
     }
 }
 
-/// Notes that a request was answered whole.
+/// Records that a request was answered completely.
 pub fn request_completed(node: &ServingNode, fingerprint: Fingerprint) {
     let learned = node.crashes.tracker.lock().mark_answered(fingerprint, node.now());
     record(node, fingerprint, learned, "it was answered whole");
 }
 
-/// Lets a request that is held off go again, at all boxes. Returns whether it was held off.
+/// Releases a quarantined request at all boxes. Returns whether it was quarantined.
 pub fn release(node: &ServingNode, fingerprint: Fingerprint) -> bool {
     let learned = node.crashes.tracker.lock().clear_suspicion(fingerprint, node.now());
     record(node, fingerprint, learned, "an operator let it go");
     learned == SuspicionChange::Released
 }
 
-/// Takes in what another box knows.
+/// Merges the crash reports of another box.
 pub fn merge_reports(node: &ServingNode, from: Ipv4Addr, reports: &[CrashReport]) {
     for report in reports {
         let fingerprint = report.fingerprint;
@@ -214,13 +220,13 @@
         };
         log_learned(node, fingerprint, learned, &from.to_string());
         if knows_cleared {
-            // Many boxes may know that; the first that says so speaks for all.
+            // Many boxes may know that; the first to send it does so for all.
             node.crashes.outbox.lock().add_clearance(fingerprint, node.now());
             node.crashes.outbox_changed.notify_one();
         } else if is_quarantined
             && (!report.is_quarantined() || must_forward(node, learned, fingerprint))
         {
-            // The box that told knows less, or may end before all have heard of it.
+            // The sending box knows less, or may end before it has informed all others.
             broadcast_report(node, fingerprint);
         } else {
             node.crashes.outbox.lock().record_received(fingerprint);
@@ -228,13 +234,14 @@
     }
 }
 
-/// Returns whether this box tells all others as well of what another has held off: those that count its crashes do.
+/// Returns whether this box also informs all others of a quarantine that another box decided: the
+/// boxes that count the request's crashes do.
 fn must_forward(node: &ServingNode, learned: SuspicionChange, fingerprint: Fingerprint) -> bool {
     let me = node.settings.load().node.ip;
     learned == SuspicionChange::Quarantined && coordinators_of(node, fingerprint).contains(&me)
 }
 
-/// Takes in which servers another box found to have ended.
+/// Merges the ended servers that another box reported.
 pub fn merge_ended(node: &ServingNode, servers: &[u32]) {
     let ids: Vec<BackendId> = {
         let names = node.names.lock();
@@ -246,7 +253,7 @@
     }
 }
 
-/// Logs what was learned of a request and has the boxes told that need to know.
+/// Logs what was learned about a request and informs the boxes that need to know.
 fn record(node: &ServingNode, fingerprint: Fingerprint, learned: SuspicionChange, by: &str) {
     if learned == SuspicionChange::Unchanged {
         return;
--- a/trackfrontd/src/serving/crashes/operators.rs
+++ b/trackfrontd/src/serving/crashes/operators.rs
@@ -1,4 +1,4 @@
-//! What operators see of requests that are held off, and how they let one go.
+//! The operators' interface to quarantined requests: lists and releases them.
 
 use http::{Method, Response, StatusCode};
 use trackfront_adapters::http_server::{Body, json, response};
@@ -8,7 +8,7 @@
 use super::release;
 use crate::serving::node::ServingNode;
 
-/// Answers an operator; `None` if the path is about something else.
+/// Answers an operator's call; returns `None` if the path belongs to another interface.
 pub fn answer(node: &ServingNode, method: &Method, path: &str) -> Option<Response<Body>> {
     if path == HELD_OFF_PATH {
         return Some(json(StatusCode::OK, &list(node)));
--- a/trackfrontd/src/serving/crashes/outbox.rs
+++ b/trackfrontd/src/serving/crashes/outbox.rs
@@ -1,8 +1,9 @@
-//! What is yet to be told of crashes, and to whom.
+//! The crash reports that are yet to be sent, and their recipients.
 //!
-//! If each crash were told to every box, the messages would grow with boxes times what ran on the servers: all that ran
-//! there is struck, and hardly any of it comes again. So the crashes of a request are told to the few boxes that count
-//! them, and only what is held off to all.
+//! If every crash were reported to every box, the number of messages would grow with the number of
+//! boxes times the number of requests on the crashed servers: all of those are suspected, and
+//! hardly any recurs. So the crashes of a request are only reported to the few boxes that count
+//! them, and only quarantined requests are reported to all.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::Ipv4Addr;
@@ -21,48 +22,51 @@
 use crate::serving::node::{ServingNode, short_server};
 use crate::serving::peer_socket::PeerSocket;
 
-/// How many times each word is told, and how long after another: of boxes that lose a fifth of their datagrams one in
-/// 600 misses all four, and the last comes 1.2 s after the first, where boxes have 3 s and more to know.
+/// How often each report is sent, and at which interval. Among boxes that lose a fifth of their
+/// datagrams, one in 600 misses all four sends. The last send comes 1.2 s after the first, and
+/// boxes have at least 3 s to learn of a crash.
 const SEND_ATTEMPTS: u32 = 4;
 const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Within which time a box says that crashes count no more: most boxes hear it from another first.
+/// The maximum random delay before a box reports that a request's crashes no longer count; most
+/// boxes hear it from another one first.
 const MAX_CLEARANCE_DELAY: Duration = Duration::from_millis(200);
 
-/// How long words are gathered before they are told: what ends together is told together.
+/// How long reports are collected before they are sent, so that servers that end together are
+/// reported together.
 const BATCH_DELAY: Duration = Duration::from_millis(15);
 
-/// How long after a server's end was told, by this box or another, it is not told again.
+/// How long the end of a server isn't reported again after this or another box did so.
 const ENDED_REPEAT_GAP: Duration = Duration::from_millis(1_500);
 
-/// How many words one message has: of 40 bytes each on the average.
+/// The number of entries in one message; a report has 40 bytes on average.
 const REPORTS_PER_MESSAGE: usize = 64;
 const ENDED_PER_MESSAGE: usize = 256;
 
-/// A word that is told a few times.
+/// A report that is sent several times.
 #[derive(Clone, Copy, Debug)]
 struct PendingSend {
     to_all: bool,
-    /// Whether others may say the same, so that it need not be said once one has.
+    /// Whether this clears a request. Such a report is dropped once another box has sent the same.
     is_clearance: bool,
     sends_left: u32,
     due: Moment,
 }
 
-/// What is yet to be told.
+/// The crash reports that are yet to be sent.
 #[derive(Debug, Default)]
 pub struct Outbox {
     reports: HashMap<Fingerprint, PendingSend>,
-    /// Servers that ended, which no box has told of yet.
+    /// Ended servers that no box has reported yet.
     ended: Vec<BackendId>,
-    /// When the end of each server was last told.
+    /// The time of the last report on the end of each server, by this or another box.
     ended_sent_at: HashMap<BackendId, Moment>,
 }
 
 impl Outbox {
-    /// Has what is known of a request told, to all boxes or to those that count its crashes.
+    /// Schedules the report on a request, for all boxes or for those that count its crashes.
     pub fn add_report(&mut self, fingerprint: Fingerprint, to_all: bool, now: Moment) {
-        // What all boxes have to hear is not cut short by what only some need to know.
+        // A report for all boxes isn't narrowed down by a later one for some of them.
         let was_for_all =
             self.reports.get(&fingerprint).is_some_and(|pending_send| pending_send.to_all);
         let to_all = to_all || was_for_all;
@@ -71,7 +75,8 @@
         self.reports.insert(fingerprint, pending_send);
     }
 
-    /// Has all boxes told that crashes of a request count no more, unless another box says so first.
+    /// Schedules the report to all boxes that a request's crashes no longer count, unless another
+    /// box sends it first.
     pub fn add_clearance(&mut self, fingerprint: Fingerprint, now: Moment) {
         let due = now + MAX_CLEARANCE_DELAY.mul_f64(rand::rng().random::<f64>());
         let pending_send =
@@ -79,13 +84,14 @@
         self.reports.entry(fingerprint).or_insert(pending_send);
     }
 
-    /// Notes that another box told what this one knows of a request.
+    /// Records that another box sent what this one knows about a request.
     pub fn record_received(&mut self, fingerprint: Fingerprint) {
         self.reports
             .retain(|waiting, pending_send| *waiting != fingerprint || !pending_send.is_clearance);
     }
 
-    /// Has the end of a server told unless that was just done. Returns whether it will be.
+    /// Schedules the report on the end of a server, unless one was sent recently. Returns whether
+    /// it did.
     pub fn add_ended(&mut self, server: &BackendId, now: Moment) -> bool {
         if self.was_sent(server, now) {
             return false;
@@ -95,7 +101,7 @@
         true
     }
 
-    /// Notes that another box told of the end of a server.
+    /// Records that another box reported the end of a server.
     pub fn record_received_end(&mut self, server: &BackendId, now: Moment) {
         self.ended_sent_at.insert(server.clone(), now);
         self.ended.retain(|waiting| waiting != server);
@@ -109,7 +115,7 @@
         self.reports.is_empty() && self.ended.is_empty()
     }
 
-    /// Takes the words on requests that are due, and whether each goes to all boxes.
+    /// Returns the requests whose reports are due, and whether each report goes to all boxes.
     pub fn take_due(&mut self, now: Moment) -> Vec<(Fingerprint, bool)> {
         let mut due = Vec::new();
         self.reports.retain(|fingerprint, pending_send| {
@@ -129,7 +135,7 @@
     }
 }
 
-/// Tells other boxes, for as long as this one lives.
+/// Sends due reports to other boxes. Runs as long as the box does.
 pub async fn broadcast(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     loop {
         let woken = node.crashes.outbox_changed.notified();
--- a/trackfrontd/src/serving/crashes/rows.rs
+++ b/trackfrontd/src/serving/crashes/rows.rs
@@ -1,8 +1,8 @@
-//! What is held off, in the platform's table and at boxes that start.
+//! Stores quarantined requests in the platform's table, and loads them at boxes that start.
 //!
-//! All boxes may be killed at once, and what crashes servers comes again all the same. One small row is written for
-//! each request that is held off, none for any other. A box that starts asks others for what they know and reads
-//! the rows where none of them knows.
+//! Even if all boxes are killed at once, the clients of a request that crashes servers retry it. So
+//! each quarantined request has a small row; other requests have none. A box that starts asks other
+//! boxes for quarantined requests, and reads the rows if none of them knows.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -20,21 +20,22 @@
 use crate::serving::node::ServingNode;
 use crate::serving::{boxes, exchange, feed_relay};
 
-/// The start of the keys of rows.
+/// The prefix of the rows' keys.
 const ROW_PREFIX: &str = "crashes/";
 
-/// How long a box that starts waits between two questions for what is held off, and how many rounds it leaves to the
-/// one that reads for its hall: read by every box, a start of all would cost as many calls as there are boxes.
+/// The interval at which a starting box asks other boxes for quarantined requests, and the number
+/// of rounds after which it reads the rows even if it isn't the feed reader of its hall. If every
+/// box read them at once, a start of all boxes would cost as many calls as there are boxes.
 const ASK_INTERVAL: Duration = Duration::from_millis(300);
 const FEED_READER_ROUNDS: usize = 4;
 
-/// How often is looked whether something is to be written or is over.
+/// The maximum interval between checks for rows to write or remove.
 const CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// How much longer each further one of the boxes that count a request's crashes waits before it writes the row.
+/// The additional delay before each further box that counts a request's crashes writes the row.
 const WRITER_DELAY: Duration = Duration::from_millis(2_000);
 
-/// Learns what is held off, then keeps the rows of what this box counts.
+/// Loads the quarantined requests, then maintains the rows of the requests that this box counts.
 pub async fn maintain_rows(node: Arc<ServingNode>) {
     load(&node).await;
     loop {
@@ -44,10 +45,11 @@
     }
 }
 
-/// Asks other boxes, and the platform's table where none of them knows.
+/// Loads quarantined requests from other boxes, or from the platform's table if none of them knows.
 async fn load(node: &ServingNode) {
     boxes::wait_for_list(node).await;
-    // A box that knows no other yet would take itself for the reader: of 90 boxes that start, 90 would read.
+    // A box that knows no other box would take itself for the feed reader: of 90 boxes that start,
+    // 90 would read.
     while node.is_discovering_peers() {
         sleep(ASK_INTERVAL).await;
     }
@@ -60,7 +62,7 @@
         if reads {
             match read_rows(node).await {
                 Ok(reports) => return apply_loaded(node, reports, "the platform's table"),
-                Err(error) => log::info!(error:% = error; "crashes not read"),
+                Err(error) => log::info!(error:% = error; "quarantine rows not read"),
             }
         }
         sleep(ASK_INTERVAL).await;
@@ -72,7 +74,7 @@
     let count = reports.len();
     {
         let mut tracker = node.crashes.tracker.lock();
-        // What was tried before this box started is not known to it, so it tries nothing.
+        // This box doesn't know which trials were made before it started, so it makes none.
         for report in reports {
             tracker.apply_report(&CrashReport { together: false, ..report }, now);
         }
@@ -81,7 +83,7 @@
     log::info!(from, held_off = count; "crashes known");
 }
 
-/// Returns what is held off, for a box that starts; `None` if this box does not know itself.
+/// Returns the quarantined requests for a starting box; `None` if this box hasn't loaded them.
 pub fn snapshot(node: &ServingNode) -> Option<Vec<CrashReport>> {
     let held_off =
         || node.crashes.all_quarantined().into_iter().map(|(report, _)| report).collect();
@@ -95,14 +97,15 @@
     let reports = rows.iter().filter_map(|row| match read(&row.value) {
         Ok(report) => Some(CrashReport { stored: true, ..report }),
         Err(error) => {
-            log::warn!(row = row.key.0, error:% = error; "row of crashes not understood");
+            log::warn!(row = row.key.0, error:% = error; "invalid quarantine row");
             None
         }
     });
     Ok(reports.collect())
 }
 
-/// Writes rows that are lacking. The boxes that count a request's crashes do so one after the other, until one has.
+/// Writes missing rows. The boxes that count a request's crashes try one after the other, until one
+/// has succeeded.
 async fn write_rows(node: &ServingNode) {
     let me = node.settings.load().node.ip;
     let now = node.now();
@@ -122,13 +125,14 @@
     }
 }
 
-/// Forgets what is held off no longer, and removes its row.
+/// Forgets requests whose quarantine expired, and removes their rows and those of released
+/// requests.
 async fn forget_expired(node: &ServingNode) {
     let me = node.settings.load().node.ip;
     let over = node.crashes.tracker.lock().forget_old(node.now());
     for report in over {
         let fingerprint = report.fingerprint;
-        log::info!(fingerprint:%; "request held off no longer");
+        log::info!(fingerprint:%; "request quarantine expired");
         if report.stored && coordinators_of(node, fingerprint).first() == Some(&me) {
             remove_row(node, fingerprint).await;
         }
@@ -139,15 +143,16 @@
     }
 }
 
-/// Removes the row of a request that is held off no longer. One that stays is read by boxes that start.
+/// Removes the row of a request that is no longer quarantined. If it stayed, starting boxes would
+/// load it.
 async fn remove_row(node: &ServingNode, fingerprint: Fingerprint) {
     let removed = commit(node, fingerprint, Expect::Version(1), None).await;
     if !removed {
-        log::warn!(fingerprint:%; "row of crashes not removed");
+        log::warn!(fingerprint:%; "quarantine row not removed");
     }
 }
 
-/// Writes or removes a row. Returns whether it is there, or gone, for certain.
+/// Writes or removes a row. Returns whether the row is certain to exist, or to be gone.
 async fn commit(
     node: &ServingNode,
     fingerprint: Fingerprint,
@@ -161,7 +166,7 @@
     match node.ports.table.commit(&transaction).await {
         CommitOutcome::Applied | CommitOutcome::Conflict { .. } => true,
         CommitOutcome::NotApplied(error) | CommitOutcome::Unknown(error) => {
-            log::info!(fingerprint:%, error:% = error; "crashes not written");
+            log::info!(fingerprint:%, error:% = error; "quarantine row not written");
             false
         }
     }
--- a/trackfrontd/src/serving/notices/broadcast.rs
+++ b/trackfrontd/src/serving/notices/broadcast.rs
@@ -1,4 +1,4 @@
-//! Tells other boxes what servers said, and takes in what they tell.
+//! Sends servers' notices to other boxes, and handles those that other boxes send.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::Ipv4Addr;
@@ -19,24 +19,26 @@
 use crate::serving::peer_socket::PeerSocket;
 use crate::serving::{boxes, exchange};
 
-/// How many times other boxes are told what is new of a server, and how long after another: some datagrams are lost.
+/// How often each new notice is sent, since some datagrams are lost, and at which interval.
 const SEND_ATTEMPTS: u32 = 4;
 const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
-/// The least time between two words on one server, which may change its mind with each answer.
+/// The minimum interval between two messages about a server, which may change its notices with each
+/// answer.
 const MIN_DIGEST_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long words are gathered before they are told.
+/// How long notices are collected before they are sent.
 const BATCH_DELAY: Duration = Duration::from_millis(15);
 
-/// How many words one message has.
+/// The number of notices in one message.
 const NOTICES_PER_MESSAGE: usize = 128;
 
-/// How often a box that starts asks for what the others know, and after which pause.
+/// The number of rounds in which a starting box asks other boxes for their notices, and the pause
+/// between them.
 const FETCH_ROUNDS: usize = 3;
 const FETCH_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Servers on which there is something new to tell.
+/// Servers with notices that are yet to be sent.
 #[derive(Default)]
 pub struct NoticeOutbox {
     waiting: Mutex<HashMap<BackendId, PendingSend>>,
@@ -79,7 +81,7 @@
     }
 }
 
-/// Takes in what another box was told by servers.
+/// Applies the notices that another box sent.
 fn apply_notices(node: &ServingNode, told: &[NoticeRecord], by: &str) {
     let now = node.now();
     for notice in told {
@@ -102,7 +104,7 @@
     }
 }
 
-/// Tells the other boxes what is new, for as long as this one lives.
+/// Sends due notices to the other boxes. Runs as long as the box does.
 pub async fn broadcast(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     loop {
         let woken = node.notice_outbox.wake.notified();
@@ -134,7 +136,8 @@
     socket.send(&Message::Notices(told), boxes).await;
 }
 
-/// Takes in what another box tells, and hands it on to this one's part of its hall if it is to.
+/// Handles a batch of notices from another box, and forwards it within this box's part of its hall
+/// if the batch asks for it.
 pub async fn handle_batch(
     node: &ServingNode,
     socket: &PeerSocket,
@@ -148,7 +151,7 @@
     }
 }
 
-/// Returns what other boxes are told of a server.
+/// Returns the notices of a server as sent to other boxes.
 fn records_of(
     tracker: &NoticeTracker,
     cold: &ColdTracker,
@@ -176,7 +179,7 @@
     u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX)
 }
 
-/// Returns what is known of servers, for a box that starts; `None` if this box knows no servers yet.
+/// Returns all notices for a starting box; `None` if this box knows no servers yet.
 pub fn snapshot(node: &ServingNode) -> Option<Vec<NoticeRecord>> {
     if !node.knows_servers() {
         return None;
@@ -189,12 +192,14 @@
     Some(records.collect())
 }
 
-/// Asks the others for what they know. Of what none of them knows the servers' next answers tell.
+/// Loads the notices of other boxes when this one starts. If no other box answers, the servers'
+/// next answers bring them.
 pub async fn fetch_from_peers(node: Arc<ServingNode>) {
     boxes::wait_for_list(&node).await;
     for _ in 0..FETCH_ROUNDS {
         let others = boxes::likely_up(&node);
-        // Servers that this box does not know yet have no names here.
+        // Notices refer to servers by short names, which this box can only resolve once it knows
+        // the servers.
         if node.knows_servers()
             && let Some(told) = exchange::fetch_notices(&node, &others).await
         {
--- a/trackfrontd/src/serving/notices/mod.rs
+++ b/trackfrontd/src/serving/notices/mod.rs
@@ -1,4 +1,5 @@
-//! Hears what servers say of themselves in their answers; [`broadcast`](mod@broadcast) has the other boxes know.
+//! Handles what servers announce about themselves in their answers; [`broadcast`](mod@broadcast)
+//! informs the other boxes.
 
 mod broadcast;
 
@@ -22,12 +23,12 @@
 const BACKS_OFF: &str = "backs_off";
 const COLD: &str = "cold";
 
-/// How much longer than a server asked for some boxes stay away, as a part of that time: all that it turned away together
-/// would come back together.
+/// The maximum extension of a server's back-off time, as a share of it. Without it, all requests
+/// that the server turned away together would return together.
 const BACK_OFF_JITTER: f64 = 0.1;
 
-/// Takes in what the head of an answer from a server's address says, unless another run of the server wrote it. `by` is
-/// the request that it came to.
+/// Handles the notices in the head of an answer, unless another incarnation of the server wrote it.
+/// `by` is the request that was answered.
 pub fn observe_head(
     node: &ServingNode,
     server: &Arc<KnownServer>,
@@ -60,7 +61,7 @@
     }
 }
 
-/// Takes in how much longer a server is cold. Returns whether that is news.
+/// Records how much longer a server is cold. Returns whether that is new.
 fn record_cold(node: &ServingNode, server: &BackendId, cold_for: Duration, by: &str) -> bool {
     let is_new = node.cold.lock().apply_report(server, cold_for, node.now());
     if is_new {
@@ -70,23 +71,24 @@
     is_new
 }
 
-/// Returns when in the time after a server's back-off this box comes back, from 0 to 1: another time than other boxes.
+/// Returns the position from 0 to 1 of this box within the jitter of a server's back-off time; it
+/// differs between boxes.
 fn jitter_of(node: &ServingNode, server: &BackendId) -> f64 {
     let me = node.settings.load().node.ip;
     let hash = blake3::hash(format!("{me} {server}").as_bytes());
     f64::from(hash.as_bytes()[0]) / f64::from(u8::MAX)
 }
 
-/// Returns whether other boxes have to know. For how long a server wants nothing it says to each box by itself.
+/// Returns whether other boxes must be informed. A server asks each box itself to back off.
 fn needs_broadcast(learned: NoticeChange) -> bool {
     !matches!(learned, NoticeChange::BacksOff(_))
 }
 
-/// Logs and counts what was learned of a server.
+/// Logs and counts what was learned about a server.
 fn record(node: &ServingNode, server: &BackendId, learned: NoticeChange, by: &str) {
     let kind = match learned {
         NoticeChange::Leaves => {
-            log::info!(server:%, by; "server says that it leaves");
+            log::info!(server:%, by; "server announced that it is leaving");
             LEAVES
         }
         NoticeChange::Limited(per_s) => {
@@ -94,8 +96,8 @@
             LIMITED
         }
         NoticeChange::Unlimited => {
-            log::info!(server:%, by; "server limit over");
-            // Requests that are held for a turn need none now.
+            log::info!(server:%, by; "server limit lifted");
+            // Requests that are held for a permit no longer need one.
             node.servers_changed.notify_waiters();
             UNLIMITED
         }
@@ -107,7 +109,7 @@
     node.metrics.notices.get_or_create(&KindLabel { kind }).inc();
 }
 
-/// Drops what is over, and counts what is in force.
+/// Drops expired notices and updates the metrics of the others.
 pub fn sweep(node: &ServingNode, now: Moment) {
     let directory = node.directory.lock();
     let mut tracker = node.notices.lock();
--- a/trackfrontd/src/serving/permits.rs
+++ b/trackfrontd/src/serving/permits.rs
@@ -1,4 +1,5 @@
-//! Carries questions for turns at servers that named a limit to their keepers, and answers them.
+//! Requests permits for servers that named a limit from the limits' coordinators, and answers the
+//! requests of other boxes.
 
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -21,13 +22,14 @@
 use super::peer_socket::PeerSocket;
 use super::quota::box_id;
 
-/// How long a keeper is waited for. A box whose share of a processor is spent stands still for up to a tenth of a second.
+/// The timeout for a coordinator's reply. A box that used up its share of a processor stands still
+/// for up to a tenth of a second.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// Turns at servers that named a limit, as one box gives and takes them.
+/// The permits for servers that named a limit, as one box issues and requests them.
 pub struct ServerPermits {
     issuer: Mutex<PermitIssuer>,
-    /// When this box may ask for turns.
+    /// When this box may request permits.
     pub gates: Mutex<PermitGates>,
     pending: Mutex<HashMap<u32, oneshot::Sender<PermitAnswer>>>,
     last_number: AtomicU32,
@@ -36,8 +38,8 @@
 }
 
 impl ServerPermits {
-    /// Makes the turns of a box that has asked for none. Numbers of questions begin at `number`, which should differ
-    /// from one start of a box to the next.
+    /// Creates the state of a box that has requested no permits. Requests are numbered from
+    /// `number`, which should differ between starts of the box.
     pub fn new(number: u32) -> Self {
         Self {
             issuer: Mutex::default(),
@@ -50,14 +52,14 @@
     }
 }
 
-/// A server had no turn in time.
+/// No permit for a server became available in time.
 #[derive(Clone, Copy, Debug)]
 pub struct NoPermit {
-    /// The limit that it named, in requests a second.
+    /// The limit that the server named, in requests per second.
     pub per_s: f64,
 }
 
-/// A question that is open until this is dropped.
+/// A pending request, removed from the table when this is dropped.
 struct PendingRequest<'a> {
     permits: &'a ServerPermits,
     number: u32,
@@ -69,8 +71,8 @@
     }
 }
 
-/// Takes a turn at a server if that has named a limit; fails if none comes within `patience`, so that nothing is sent
-/// there for a while.
+/// Acquires a permit for a server if it named a limit. Fails if none becomes valid within
+/// `max_wait`; no requests go to the server for a while then.
 pub async fn acquire(
     node: &ServingNode,
     server: &BackendId,
@@ -83,12 +85,13 @@
     from.map(|from| Some(Permit { from })).ok_or(NoPermit { per_s })
 }
 
-/// Waits until a turn may be used.
-pub async fn wait_until_valid(node: &ServingNode, answer: Permit) {
-    sleep(answer.from.since(node.now())).await;
+/// Waits until a permit may be used.
+pub async fn wait_until_valid(node: &ServingNode, permit: Permit) {
+    sleep(permit.from.since(node.now())).await;
 }
 
-/// Asks for a turn at a server that takes `per_s` requests a second. Returns when it comes.
+/// Requests a permit for a server with a limit of `per_s` requests per second. Returns the time at
+/// which the permit becomes valid.
 async fn request(
     node: &ServingNode,
     server: &BackendId,
@@ -97,7 +100,7 @@
 ) -> Option<Moment> {
     let asked = node.now();
     let short_name = short_server(server);
-    // With a part of the boxes this one would take itself for the keeper.
+    // As long as it knows only some of the boxes, this box might take itself for the coordinator.
     let coordinator =
         node.are_boxes_listed().then(|| coordinator(node, short_name, asked)).flatten();
     let Some(coordinator) = coordinator else {
@@ -126,7 +129,7 @@
         None => {
             node.permits.gates.lock().mark_unresponsive(coordinator.id, now);
             let coordinator = Ipv4Addr::from_bits(coordinator.id.0);
-            log::info!(server:%, keeper:% = coordinator, is_stand_in = ask.is_stand_in; "no answer for a turn");
+            log::info!(server:%, keeper:% = coordinator, is_stand_in = ask.is_stand_in; "no reply to a permit request");
             None
         }
     }
@@ -139,7 +142,7 @@
     node.permits.gates.lock().coordinator(short_name, boxes, now)
 }
 
-/// Asks another box; `None` if it does not answer in time.
+/// Requests a permit from another box; returns `None` if it doesn't answer in time.
 async fn ask_peer(
     node: &ServingNode,
     coordinator: BoxId,
@@ -155,7 +158,7 @@
     answer.ok()?.ok()
 }
 
-/// Sends the questions of this box, for as long as it lives.
+/// Sends this box's requests to the coordinators. Runs as long as the box does.
 pub async fn send_requests(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     loop {
         node.permits.wake.notified().await;
@@ -166,7 +169,7 @@
     }
 }
 
-/// Answers another box, unless this one does not know which there are.
+/// Answers another box's request, unless this box doesn't know all boxes yet.
 pub fn answer(node: &ServingNode, socket: &PeerSocket, from: Ipv4Addr, ask: &PermitRequest) {
     if !node.are_boxes_listed() || !ask.per_s.is_finite() {
         return;
@@ -182,7 +185,8 @@
     );
 }
 
-/// Gives a turn as the keeper, by the limit that this box knows, or else the one that was named to it.
+/// Issues a permit as the coordinator, by the limit that this box knows, or else the one in the
+/// request.
 fn issue(node: &ServingNode, ask: &PermitRequest) -> PermitAnswer {
     let now = node.now();
     let server = node.names.lock().server(ask.server).cloned();
@@ -196,7 +200,7 @@
     node.permits.issuer.lock().request(ask.server, per_s, max_wait, now)
 }
 
-/// Takes in the answer of a keeper. One that nobody waits for any more is a turn that lapses.
+/// Handles a coordinator's reply. A permit that is no longer awaited expires unused.
 pub fn handle_reply(node: &ServingNode, told: PermitReply) {
     let Some(tell) = node.permits.pending.lock().remove(&told.number) else {
         return;
@@ -204,11 +208,11 @@
     let wait = Duration::from_millis(u64::from(told.wait_ms));
     let answer =
         if told.is_granted { PermitAnswer::GrantedIn(wait) } else { PermitAnswer::NotBefore(wait) };
-    // Its request may have left in this moment.
+    // The awaiting task may have ended in the meantime.
     let _ = tell.send(answer);
 }
 
-/// Drops what is over.
+/// Drops expired permits and gates.
 pub fn sweep(node: &ServingNode, now: Moment) {
     node.permits.issuer.lock().forget_old(now);
     node.permits.gates.lock().forget_old(now);
--- a/trackfrontd/tests/crash_outbox.rs
+++ b/trackfrontd/tests/crash_outbox.rs
@@ -1,4 +1,4 @@
-//! What a box tells of requests that crash servers, and to whom.
+//! The crash reports that a box sends, and their recipients.
 
 use std::time::Duration;
 
@@ -12,8 +12,10 @@
     Moment(Duration::from_millis(ms))
 }
 
-/// Several servers end at once under one request: the third holds it off, which goes to all boxes, and the fourth comes
-/// before that was told. As a word on the fourth alone it went to the few boxes that count, and nobody told the others.
+/// Guards against a quarantine that the other boxes don't learn of. Several servers end at once
+/// under one request: the crash of the third quarantines it, which is reported to all boxes, and
+/// that of the fourth follows before the report is sent. When the later report replaced the earlier
+/// one, only the few boxes that count the crashes received it.
 #[test]
 fn what_goes_to_all_boxes_does_so_whatever_is_learned_before_it_is_told() {
     let mut outbox = Outbox::default();
