--- a/trackfrontd/src/serving/cold.rs
+++ b/trackfrontd/src/serving/cold.rs
@@ -1,4 +1,5 @@
-//! Which servers are cold, by all that says so: their rows, their answers, and that their hall has just come back.
+//! Determines which servers are cold, by their rows, their answers, and the recent return of their
+//! hall.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,19 +12,19 @@
 
 use super::node::ServingNode;
 
-/// How often the boxes that may send to cold servers are looked at anew.
+/// The interval at which the boxes that may send to cold servers are updated.
 const BOXES_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What is known of cold servers of one service.
+/// The view of the cold servers of one service.
 #[derive(Clone, Copy)]
 pub struct ColdView<'a> {
-    /// What its servers bear after a start; `None` if that is no less than later.
+    /// The load that the servers accept after a start; `None` if they accept full load at once.
     pub start: Option<ColdStart>,
-    /// How far that may be passed.
+    /// How far that load may be exceeded.
     pub terms: ColdStartTolerance,
-    /// The servers, and this box's part of what they bear.
+    /// The cold servers, and this box's share of the load that they accept.
     pub book: &'a ColdTracker,
-    /// The halls that are emptied or came back.
+    /// The halls that are evacuated or have returned.
     pub evacuations: &'a Evacuations,
 }
 
@@ -39,8 +40,9 @@
         }
     }
 
-    /// Returns until when a server is cold. Of one whose hall came back that is not known: its row may say so later
-    /// than the hall is used, so it is taken for as cold as after a start.
+    /// Returns the time until which a server is cold. For a server of a hall that has returned,
+    /// that time is unknown, and its row may be updated only after the hall is used again. So it
+    /// counts as cold for as long as after a start.
     fn until(&self, server: &KnownServer, start: ColdStart) -> Option<Moment> {
         let returned = self.evacuations.returned_at(&server.entry.zone);
         let by_hall = returned.map(|at| at + start.lasts);
@@ -49,10 +51,10 @@
     }
 }
 
-/// Keeps the list of boxes that may send to cold servers up to date, for as long as the box lives.
+/// Updates the list of boxes that may send to cold servers. Runs as long as the box does.
 pub async fn maintain_senders(node: Arc<ServingNode>) {
     loop {
-        // A part of the boxes would make senders of too many.
+        // With an incomplete list, too many boxes would send.
         if node.are_boxes_listed() {
             let me = node.settings.load().node.ip.to_bits();
             let others = node.peers.lock().all();
@@ -62,7 +64,7 @@
     }
 }
 
-/// Takes the right to send a request to a server, if it is cold. Returns whether the request may be sent.
+/// Reserves a request to a server if the server is cold. Returns whether the request may be sent.
 pub fn reserve(
     node: &ServingNode,
     start: Option<ColdStart>,
--- a/trackfrontd/src/serving/listeners.rs
+++ b/trackfrontd/src/serving/listeners.rs
@@ -1,4 +1,5 @@
-//! The listeners of a serving box: clients, the balancer's question, metrics and copies for other boxes.
+//! The listeners of a serving box: client requests, readiness checks of the load balancer, and
+//! metrics, snapshots and operators' calls.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,13 +17,14 @@
 use super::pipeline;
 use super::{crashes, exchange};
 
-/// How many connections wait to be accepted.
+/// The maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// The part of the descriptors that clients' connections may take; each may need one to a server.
+/// Clients' connections may use two parts in this many of the file descriptors; each may need
+/// another one to a server.
 const CLIENT_DESCRIPTOR_DIVISOR: usize = 5;
 
-/// Binds a listener to an address that a process before may just have left.
+/// Binds a listener, also to an address that an earlier process has just released.
 pub fn bind(address: SocketAddr) -> anyhow::Result<TcpListener> {
     let socket = TcpSocket::new_v4().context("no socket; raise the limit of descriptors")?;
     socket.set_reuseaddr(true)?;
@@ -31,7 +33,7 @@
     socket.listen(BACKLOG).with_context(remedy)
 }
 
-/// Serves clients until `stop` turns true and every request in progress is answered.
+/// Serves clients until `stop` turns true and all requests in progress are answered.
 pub async fn serve_clients(
     node: Arc<ServingNode>,
     listener: TcpListener,
@@ -43,7 +45,7 @@
     serve_with(listener, limits, handler, stop).await;
 }
 
-/// Returns what the configuration in force allows clients.
+/// Returns the limits for clients by the configuration in force.
 fn client_limits(node: &ServingNode) -> ServerLimits {
     let descriptors = node.settings.load().resources.file_descriptors;
     let connections = (descriptors / CLIENT_DESCRIPTOR_DIVISOR * 2).max(16);
@@ -52,14 +54,15 @@
         None => base,
         Some(limits) => ServerLimits {
             head_bytes: limits.head_bytes,
-            // One time bounds both a slow head and an idle connection: the longer of the two.
+            // A single timeout bounds both a slow head and an idle connection: the longer of the
+            // two.
             head_timeout: limits.idle_time.max(limits.head_time),
             ..base
         },
     }
 }
 
-/// Answers whether the node takes new connections.
+/// Serves the readiness check: whether this box takes new connections.
 pub async fn serve_readiness(
     node: Arc<ServingNode>,
     listener: TcpListener,
@@ -75,7 +78,8 @@
     serve(listener, handler, stop).await;
 }
 
-/// Serves copies for other boxes, operators' questions on what is held off, and on any other path the metrics.
+/// Serves snapshots for other boxes, operators' calls about quarantined requests, and the metrics
+/// on any other path.
 pub async fn serve_boxes(
     node: Arc<ServingNode>,
     lines: LogQueue,
--- a/trackfrontd/src/serving/quota.rs
+++ b/trackfrontd/src/serving/quota.rs
@@ -1,4 +1,5 @@
-//! Carries questions for the limits of client accounts to other boxes, as datagrams.
+//! Sends quota requests for the limits of client accounts to other boxes and handles their answers,
+//! as datagrams.
 
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -14,24 +15,25 @@
 use super::node::ServingNode;
 use super::peer_socket::PeerSocket;
 
-/// How often the boxes that share the limits are looked at anew.
+/// The interval at which the boxes that share the limits are updated.
 const BOXES_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Returns the limits of a configuration.
+/// Returns the limits of the client accounts in a configuration.
 pub fn limits(config: &ServingConfig) -> HashMap<AccountId, AccountLimit> {
     let accounts = config.accounts.iter().flat_map(|accounts| accounts.all());
     accounts.filter_map(|account| Some((AccountId::of(&account.name), account.limit?))).collect()
 }
 
-/// Asks again and again, for as long as the box lives.
+/// Sends quota requests to other boxes. Runs as long as the box does.
 pub async fn maintain_quotas(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     let mut boxes_set_at: Option<Moment> = None;
     let mut knew_all_boxes = false;
     loop {
         let now = node.now();
         if node.quotas.has_limits() {
-            // Until its limits know that all boxes are known, a box refuses what has a limit. Looked at once a second
-            // only, that took up to 1 s longer than it need, in more than half of the starts eight at a time.
+            // A box refuses requests of limited accounts until its limits know that all boxes are
+            // known. When this was only checked once a second, it took up to 1 s longer than needed
+            // in more than half of the starts of eight boxes at a time.
             let knows_all_boxes = node.are_boxes_listed();
             let learned_all = knows_all_boxes && !knew_all_boxes;
             if learned_all || boxes_set_at.is_none_or(|at| now.since(at) >= BOXES_INTERVAL) {
@@ -55,19 +57,19 @@
     node.quotas.set_boxes(&others, sharing);
 }
 
-/// Returns what a box is called among those that share limits.
+/// Returns the identifier of a box among those that share limits.
 pub fn box_id(ip: Ipv4Addr) -> BoxId {
     BoxId(ip.to_bits())
 }
 
-/// Answers another box.
+/// Answers the quota request of another box.
 pub fn answer(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, ask: &Ask) {
     if let Some(answer) = node.quotas.answer(box_id(ip), ask, node.now()) {
         socket.send_now(&Message::QuotaReply(answer), ip);
     }
 }
 
-/// Takes in the answer of another box.
+/// Handles another box's answer to a quota request.
 pub fn handle_answer(node: &ServingNode, ip: Ipv4Addr, answer: &Answer) {
     node.quotas.take_in(box_id(ip), answer, node.now());
 }
--- a/trackfrontd/src/serving/unusable_rows.rs
+++ b/trackfrontd/src/serving/unusable_rows.rs
@@ -1,5 +1,5 @@
-//! Rows of servers that name none to use, as others than their servers wrote them: counted, and logged once a
-//! version.
+//! Server rows that describe no usable server, as something other than a server wrote them. They
+//! are counted, and logged once per version.
 
 use std::collections::HashMap;
 
@@ -8,21 +8,21 @@
 use trackfront_core::ids::ServerKey;
 use trackfront_core::serving::directory::ServerChange;
 
-/// How many such rows of one answer have a line of their own; the others are summed up, or a flood of them would be
-/// one of lines.
+/// The number of such rows in one answer that are logged one by one; the rest are logged as a
+/// count, so that a flood of rows causes no flood of log lines.
 const MAX_LOGGED_ROWS: usize = 8;
 
-/// How many rows are remembered as logged; a listing has them again.
+/// The number of rows that are remembered as logged; a listing returns them again.
 const MAX_REMEMBERED_ROWS: usize = 1_024;
 
-/// What was logged.
+/// The rows that were logged.
 #[derive(Debug, Default)]
 pub struct UnusableRows {
     logged: Mutex<HashMap<ServerKey, u64>>,
 }
 
 impl UnusableRows {
-    /// Notes those among rows that were read from the platform.
+    /// Counts and logs the unusable ones among rows read from the platform.
     pub fn record(&self, rows: &[ServerChange], metrics: &ServingMetrics) {
         let mut unlogged_rows = 0;
         let mut logged_rows = 0;
@@ -39,10 +39,10 @@
                 continue;
             }
             logged_rows += 1;
-            log::warn!(row:% = key, version, error; "row names no server to use");
+            log::warn!(row:% = key, version, error; "row describes no usable server");
         }
         if unlogged_rows > 0 {
-            log::warn!(rows = unlogged_rows; "more rows name no server to use");
+            log::warn!(rows = unlogged_rows; "more rows describe no usable server");
         }
     }
 
