--- a/trackfrontd/src/serving/cold.rs
+++ b/trackfrontd/src/serving/cold.rs
@@ -23,7 +23,7 @@
     /// How far that load may be exceeded.
     pub terms: ColdStartTolerance,
     /// The cold servers, and this box's share of the load that they accept.
-    pub book: &'a ColdTracker,
+    pub tracker: &'a ColdTracker,
     /// The halls that are evacuated or have returned.
     pub evacuations: &'a Evacuations,
 }
@@ -35,7 +35,7 @@
             return ColdState::Warm;
         };
         match self.until(server, start) {
-            Some(until) => self.book.state(&server.entry.id, start, self.terms, until, now),
+            Some(until) => self.tracker.state(&server.entry.id, start, self.terms, until, now),
             None => ColdState::Warm,
         }
     }
@@ -46,7 +46,7 @@
     fn until(&self, server: &KnownServer, start: ColdStart) -> Option<Moment> {
         let returned = self.evacuations.returned_at(&server.entry.zone);
         let by_hall = returned.map(|at| at + start.lasts);
-        let by_answer = self.book.reported_until(&server.entry.id);
+        let by_answer = self.tracker.reported_until(&server.entry.id);
         server.cold_until().max(by_answer).max(by_hall)
     }
 }
@@ -73,10 +73,10 @@
 ) -> bool {
     let terms = node.settings.load().promises.cold();
     let evacuations = node.evacuations.lock();
-    let mut book = node.cold.lock();
-    let view = ColdView { start, terms, book: &book, evacuations: &evacuations };
+    let mut tracker = node.cold.lock();
+    let view = ColdView { start, terms, tracker: &tracker, evacuations: &evacuations };
     match (view.judge(server, now), start) {
-        (ColdState::Admitting, Some(start)) => book.take(&server.entry.id, start, terms, now),
+        (ColdState::Admitting, Some(start)) => tracker.take(&server.entry.id, start, terms, now),
         (coldness, _) => coldness == ColdState::Warm,
     }
 }
--- a/trackfrontd/src/serving/crashes/mod.rs
+++ b/trackfrontd/src/serving/crashes/mod.rs
@@ -101,11 +101,11 @@
 pub fn take_trial(node: &ServingNode, fingerprint: Fingerprint) -> bool {
     let me = node.settings.load().node.ip;
     let is_first = coordinators_of(node, fingerprint).first() == Some(&me);
-    let tries = is_first && node.crashes.tracker.lock().start_trial(fingerprint, node.now());
-    if tries {
+    let is_trial = is_first && node.crashes.tracker.lock().start_trial(fingerprint, node.now());
+    if is_trial {
         log::info!(fingerprint:%; "quarantined request sent as a trial");
     }
-    tries
+    is_trial
 }
 
 /// Returns the boxes that count the crashes of a request; this box may be one of them.
@@ -133,14 +133,14 @@
     }
     let now = node.now();
     let incarnation = incarnation_id(id);
-    let (learned, has_ended) = {
+    let (change, has_ended) = {
         let mut tracker = node.crashes.tracker.lock();
         (
             tracker.connection_broke(fingerprint, incarnation, now),
             tracker.has_ended(incarnation, now),
         )
     };
-    record(node, fingerprint, learned, request.as_str());
+    record(node, fingerprint, change, request.as_str());
     if !has_ended && node.crashes.probing.lock().insert(id.clone()) {
         tokio::spawn(probe(node.clone(), server.clone()));
     }
@@ -172,9 +172,9 @@
 
 /// Records that a server's row was removed, or replaced by that of a later incarnation.
 pub fn server_left(node: &ServingNode, server: &BackendId) {
-    let learned = node.crashes.tracker.lock().mark_ended(incarnation_id(server), node.now());
-    for (fingerprint, what) in learned {
-        record(node, fingerprint, what, server.as_str());
+    let changes = node.crashes.tracker.lock().mark_ended(incarnation_id(server), node.now());
+    for (fingerprint, change) in changes {
+        record(node, fingerprint, change, server.as_str());
     }
 }
 
@@ -184,47 +184,47 @@
     let now = node.now();
     node.loads.lock().mark_ended(server, now);
     let incarnation = incarnation_id(server);
-    let (was_known, learned) = {
+    let (was_known, changes) = {
         let mut tracker = node.crashes.tracker.lock();
         (tracker.has_ended(incarnation, now), tracker.mark_ended(incarnation, now))
     };
     if !was_known {
-        log::info!(server:%, evidence, struck = learned.len(); "server ended");
+        log::info!(server:%, evidence, struck = changes.len(); "server ended");
     }
-    for (fingerprint, what) in learned {
-        record(node, fingerprint, what, server.as_str());
+    for (fingerprint, change) in changes {
+        record(node, fingerprint, change, server.as_str());
     }
 }
 
 /// Records that a request was answered completely.
 pub fn request_completed(node: &ServingNode, fingerprint: Fingerprint) {
-    let learned = node.crashes.tracker.lock().mark_answered(fingerprint, node.now());
-    record(node, fingerprint, learned, "it was answered whole");
+    let change = node.crashes.tracker.lock().mark_answered(fingerprint, node.now());
+    record(node, fingerprint, change, "it was answered whole");
 }
 
 /// Releases a quarantined request at all boxes. Returns whether it was quarantined.
 pub fn release(node: &ServingNode, fingerprint: Fingerprint) -> bool {
-    let learned = node.crashes.tracker.lock().clear_suspicion(fingerprint, node.now());
-    record(node, fingerprint, learned, "an operator let it go");
-    learned == SuspicionChange::Released
+    let change = node.crashes.tracker.lock().clear_suspicion(fingerprint, node.now());
+    record(node, fingerprint, change, "an operator let it go");
+    change == SuspicionChange::Released
 }
 
 /// Merges the crash reports of another box.
 pub fn merge_reports(node: &ServingNode, from: Ipv4Addr, reports: &[CrashReport]) {
     for report in reports {
         let fingerprint = report.fingerprint;
-        let (learned, is_quarantined, knows_cleared) = {
+        let (change, is_quarantined, knows_cleared) = {
             let mut tracker = node.crashes.tracker.lock();
-            let learned = tracker.apply_report(report, node.now());
-            (learned, tracker.is_quarantined(fingerprint), tracker.knows_cleared(report))
+            let change = tracker.apply_report(report, node.now());
+            (change, tracker.is_quarantined(fingerprint), tracker.knows_cleared(report))
         };
-        log_learned(node, fingerprint, learned, &from.to_string());
+        log_change(node, fingerprint, change, &from.to_string());
         if knows_cleared {
             // Many boxes may know that; the first to send it does so for all.
             node.crashes.outbox.lock().add_clearance(fingerprint, node.now());
             node.crashes.outbox_changed.notify_one();
         } else if is_quarantined
-            && (!report.is_quarantined() || must_forward(node, learned, fingerprint))
+            && (!report.is_quarantined() || must_forward(node, change, fingerprint))
         {
             // The sending box knows less, or may end before it has informed all others.
             broadcast_report(node, fingerprint);
@@ -236,9 +236,9 @@
 
 /// Returns whether this box also informs all others of a quarantine that another box decided: the
 /// boxes that count the request's crashes do.
-fn must_forward(node: &ServingNode, learned: SuspicionChange, fingerprint: Fingerprint) -> bool {
+fn must_forward(node: &ServingNode, change: SuspicionChange, fingerprint: Fingerprint) -> bool {
     let me = node.settings.load().node.ip;
-    learned == SuspicionChange::Quarantined && coordinators_of(node, fingerprint).contains(&me)
+    change == SuspicionChange::Quarantined && coordinators_of(node, fingerprint).contains(&me)
 }
 
 /// Merges the ended servers that another box reported.
@@ -254,12 +254,12 @@
 }
 
 /// Logs what was learned about a request and informs the boxes that need to know.
-fn record(node: &ServingNode, fingerprint: Fingerprint, learned: SuspicionChange, by: &str) {
-    if learned == SuspicionChange::Unchanged {
+fn record(node: &ServingNode, fingerprint: Fingerprint, change: SuspicionChange, by: &str) {
+    if change == SuspicionChange::Unchanged {
         return;
     }
-    log_learned(node, fingerprint, learned, by);
-    match learned {
+    log_change(node, fingerprint, change, by);
+    match change {
         SuspicionChange::Quarantined => broadcast_report(node, fingerprint),
         SuspicionChange::Released => {
             node.crashes.rows_to_remove.lock().push(fingerprint);
@@ -278,17 +278,17 @@
     node.crashes.quarantine_changed.notify_one();
 }
 
-fn log_learned(node: &ServingNode, fingerprint: Fingerprint, learned: SuspicionChange, by: &str) {
+fn log_change(node: &ServingNode, fingerprint: Fingerprint, change: SuspicionChange, by: &str) {
     let report = node.crashes.tracker.lock().report(fingerprint).cloned();
     let crashes = report.as_ref().map_or(0, CrashReport::crashes);
-    let kind = match learned {
+    let kind = match change {
         SuspicionChange::Unchanged => return,
         SuspicionChange::Suspected(_) => "struck",
         SuspicionChange::Quarantined => "held off",
         SuspicionChange::Released => "let go",
     };
     node.metrics.crashes.get_or_create(&KindLabel { kind }).inc();
-    match learned {
+    match change {
         SuspicionChange::Quarantined => log::warn!(fingerprint:%, crashes, by; "request held off"),
         SuspicionChange::Released => log::warn!(fingerprint:%, crashes, by; "request let go"),
         _ => log::info!(fingerprint:%, crashes, by; "servers crashed under request"),
--- a/trackfrontd/src/serving/crashes/rows.rs
+++ b/trackfrontd/src/serving/crashes/rows.rs
@@ -129,16 +129,16 @@
 /// requests.
 async fn forget_expired(node: &ServingNode) {
     let me = node.settings.load().node.ip;
-    let over = node.crashes.tracker.lock().forget_old(node.now());
-    for report in over {
+    let expired = node.crashes.tracker.lock().forget_old(node.now());
+    for report in expired {
         let fingerprint = report.fingerprint;
         log::info!(fingerprint:%; "request quarantine expired");
         if report.stored && coordinators_of(node, fingerprint).first() == Some(&me) {
             remove_row(node, fingerprint).await;
         }
     }
-    let let_go = std::mem::take(&mut *node.crashes.rows_to_remove.lock());
-    for fingerprint in let_go {
+    let released = std::mem::take(&mut *node.crashes.rows_to_remove.lock());
+    for fingerprint in released {
         remove_row(node, fingerprint).await;
     }
 }
--- a/trackfrontd/src/serving/lease.rs
+++ b/trackfrontd/src/serving/lease.rs
@@ -80,12 +80,12 @@
     me: NodeId,
     key: RowKey,
     machine: StateMachine<LeaseHolder>,
-    seen: Option<ObservedLease>,
+    observed: Option<ObservedLease>,
     last_read_at: Option<Moment>,
     vacant_since: Option<Moment>,
     failing_since: Option<Moment>,
     order_fence: Arc<OrderFence>,
-    giving: Arc<HoldsOrderLease>,
+    holds_lease: Arc<HoldsOrderLease>,
 }
 
 impl OrderLease {
@@ -93,7 +93,7 @@
     pub fn new(
         node: Arc<ServingNode>,
         order_fence: Arc<OrderFence>,
-        giving: Arc<HoldsOrderLease>,
+        holds_lease: Arc<HoldsOrderLease>,
     ) -> Self {
         // The name is that of the machine: a process that restarts on it is the same holder.
         let me = NodeId::from(node.settings.load().node.ip.to_string());
@@ -102,18 +102,18 @@
             me,
             key: RowKey(LEASE_ROW_KEY.into()),
             machine: LeaseHolder::new(LEASE_TTL).state_machine(),
-            seen: None,
+            observed: None,
             last_read_at: None,
             vacant_since: None,
             failing_since: None,
             order_fence,
-            giving,
+            holds_lease,
         }
     }
 
     /// Returns whether this box holds the order lease.
     pub fn is_holder(&self) -> bool {
-        self.giving.get()
+        self.holds_lease.get()
     }
 
     /// Acquires the lease if no other box gives orders. Returns whether this box holds it.
@@ -124,7 +124,7 @@
         let now = self.node.now();
         if self.node.is_stopping() || self.node.peers.lock().giver(now).is_some() {
             self.vacant_since = None;
-            self.seen = None;
+            self.observed = None;
             return false;
         }
         let vacant_since = *self.vacant_since.get_or_insert(now);
@@ -169,16 +169,16 @@
         self.drop_lease("the node stops");
         let dropped_at = self.node.now();
         self.machine.handle(&LeaseEvent::Released);
-        let Some(seen) = &self.seen else {
+        let Some(observed) = &self.observed else {
             return;
         };
-        let row = LeaseRow { holder: None, ..seen.row.clone() };
-        let version = seen.version + 1;
+        let row = LeaseRow { holder: None, ..observed.row.clone() };
+        let version = observed.version + 1;
         let applied = self.commit(&row).await == CommitOutcome::Applied;
         if applied {
             // No order was sent after the fencing token was dropped, so the quiet period began
             // then.
-            self.giving.say(LeaseAnnouncement { version, ends_at: dropped_at });
+            self.holds_lease.say(LeaseAnnouncement { version, ends_at: dropped_at });
             self.node.digest_requested.notify_one();
         }
         log::info!(applied; "order lease released");
@@ -201,30 +201,33 @@
             return false;
         }
         let now = self.node.now();
-        let (seen, word) = (self.seen.as_ref(), self.holder_announcement());
-        let Some(row) = takeover_on_announcement(seen, word, &self.me, self.terms(), now) else {
-            let held_by_other = self.seen.as_ref().and_then(|seen| seen.row.holder.as_ref());
+        let (observed, announcement) = (self.observed.as_ref(), self.holder_announcement());
+        let Some(row) =
+            takeover_on_announcement(observed, announcement, &self.me, self.terms(), now)
+        else {
+            let held_by_other =
+                self.observed.as_ref().and_then(|observed| observed.row.holder.as_ref());
             if self.is_holder() && held_by_other.is_some_and(|holder| *holder != self.me) {
                 self.drop_lease("another node has it");
             }
             return false;
         };
         let fence = row.fence;
-        let before = self.seen.as_ref().and_then(|seen| seen.row.holder.clone());
+        let before = self.observed.as_ref().and_then(|observed| observed.row.holder.clone());
         let before = before.map_or_else(String::new, |holder| holder.to_string());
         if !self.write(row).await {
             return false;
         }
         log::info!(fence = fence.0, before; "order lease taken");
         self.vacant_since = None;
-        self.giving.set(true);
+        self.holds_lease.set(true);
         self.node.digest_requested.notify_one();
         true
     }
 
     /// Returns the last announcement of the box that wrote the row as last read.
     fn holder_announcement(&self) -> Option<LeaseAnnouncement> {
-        let version = self.seen.as_ref()?.version;
+        let version = self.observed.as_ref()?.version;
         self.node.peers.lock().holders_word(version)
     }
 
@@ -234,14 +237,14 @@
         let row = self.node.ports.table.read(&self.key).await?;
         let now = self.node.now();
         let Some(row) = row else {
-            self.seen = None;
+            self.observed = None;
             return Ok(());
         };
         let value: LeaseRow = serde_json::from_slice(&row.value)
             .map_err(|error| TableError::BadAnswer(error.to_string()))?;
-        let same = self.seen.as_ref().filter(|seen| seen.version == row.version);
-        let since = same.map_or(now, |seen| seen.since);
-        self.seen = Some(ObservedLease { version: row.version, row: value, since });
+        let same = self.observed.as_ref().filter(|observed| observed.version == row.version);
+        let since = same.map_or(now, |observed| observed.since);
+        self.observed = Some(ObservedLease { version: row.version, row: value, since });
         Ok(())
     }
 
@@ -251,7 +254,7 @@
         match self.commit(&row).await {
             CommitOutcome::Applied => {}
             CommitOutcome::Conflict { .. } => {
-                self.seen = None;
+                self.observed = None;
                 self.drop_lease("another node has it");
                 return false;
             }
@@ -259,24 +262,26 @@
                 log::info!(error:% = error; "order lease not written");
                 // The row's present state is unknown, so it is read before the next write. The
                 // token from an earlier write stays valid until its own end.
-                self.seen = None;
+                self.observed = None;
                 return false;
             }
         }
-        let version = self.seen.as_ref().map_or(1, |seen| seen.version + 1);
-        self.seen = Some(ObservedLease { version, row, since: sent_at });
+        let version = self.observed.as_ref().map_or(1, |observed| observed.version + 1);
+        self.observed = Some(ObservedLease { version, row, since: sent_at });
         self.machine.handle(&LeaseEvent::Written { fence, sent_at });
         let until = sent_at + (LEASE_TTL - LEASE_TTL / 5);
         self.order_fence.set(Some(ValidFence { fence, until }));
-        self.giving.say(LeaseAnnouncement { version, ends_at: until });
+        self.holds_lease.say(LeaseAnnouncement { version, ends_at: until });
         true
     }
 
     async fn commit(&self, row: &LeaseRow) -> CommitOutcome {
         self.count("write_lease");
         let value = serde_json::to_vec(row).expect("our own types always encode");
-        let expect =
-            self.seen.as_ref().map_or(Expect::Absent, |seen| Expect::Version(seen.version));
+        let expect = self
+            .observed
+            .as_ref()
+            .map_or(Expect::Absent, |observed| Expect::Version(observed.version));
         let id = TxnId::from(draw_id("lease", &mut rand::rng()));
         let write = Write { key: self.key.clone(), expect, value: Some(Bytes::from(value)) };
         let transaction = Transaction { id, writes: vec![write] };
@@ -288,7 +293,7 @@
         self.failing_since = None;
         self.vacant_since = None;
         if self.is_holder() {
-            self.giving.set(false);
+            self.holds_lease.set(false);
             self.machine.handle(&LeaseEvent::Superseded);
             log::warn!(cause; "order lease lost");
         }
--- a/trackfrontd/src/serving/missing_items.rs
+++ b/trackfrontd/src/serving/missing_items.rs
@@ -23,14 +23,14 @@
 
 /// How long a box that needs an item is informed of orders for it, in case its request arrived
 /// before the order.
-const ASKER_TTL: Duration = Duration::from_secs(5);
+const REQUEST_TTL: Duration = Duration::from_secs(5);
 
 /// The assumed time until a requested adapter is loaded, before any measurement: an order, the
 /// load, and the messages of both.
 const INITIAL_ADAPTER_WAIT: Duration = Duration::from_millis(150);
 
 /// The weight of one measurement in the moving average of these times.
-const MEAN_WEIGHT: f64 = 0.1;
+const ADAPTER_WAIT_WEIGHT: f64 = 0.1;
 
 /// The multiple of the average for which an adapter is awaited.
 const ADAPTER_WAIT_FACTOR: f64 = 2.0;
@@ -47,9 +47,9 @@
 #[derive(Debug)]
 pub struct MissingItems {
     /// The items missing at this box since it last reported them.
-    own: Mutex<BTreeSet<ModelRef>>,
+    missing_here: Mutex<BTreeSet<ModelRef>>,
     /// The boxes that requested items that were not being loaded.
-    askers: Mutex<HashMap<ModelRef, HashMap<Ipv4Addr, Moment>>>,
+    requesters: Mutex<HashMap<ModelRef, HashMap<Ipv4Addr, Moment>>>,
     /// Notified when the load of an item was ordered.
     item_ordered: Notify,
     /// The items that were ordered since the requesting boxes were last informed.
@@ -60,8 +60,8 @@
 impl Default for MissingItems {
     fn default() -> Self {
         Self {
-            own: Mutex::default(),
-            askers: Mutex::default(),
+            missing_here: Mutex::default(),
+            requesters: Mutex::default(),
             item_ordered: Notify::new(),
             ordered: Mutex::default(),
             adapter_wait_ms: Mutex::new(INITIAL_ADAPTER_WAIT.as_secs_f64() * 1_000.0),
@@ -72,12 +72,12 @@
 impl MissingItems {
     /// Records that an item is missing at this box.
     pub fn record(&self, item: &ModelRef) {
-        self.own.lock().insert(item.clone());
+        self.missing_here.lock().insert(item.clone());
     }
 
     /// Returns and clears the items recorded since the last call.
     pub fn take(&self) -> BTreeSet<ModelRef> {
-        std::mem::take(&mut self.own.lock())
+        std::mem::take(&mut self.missing_here.lock())
     }
 
     /// Returns how long a request waits for an adapter that this box has just requested.
@@ -88,7 +88,7 @@
     /// Records how long an adapter took, or how long it was awaited in vain.
     pub fn record_adapter_wait(&self, took: Duration) {
         let mut mean = self.adapter_wait_ms.lock();
-        *mean += MEAN_WEIGHT * (took.as_secs_f64() * 1_000.0 - *mean);
+        *mean += ADAPTER_WAIT_WEIGHT * (took.as_secs_f64() * 1_000.0 - *mean);
     }
 }
 
@@ -101,15 +101,15 @@
 }
 
 /// Informs the boxes that requested items about the orders for them. Runs as long as the box does.
-pub async fn notify_askers(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
+pub async fn notify_requesters(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     loop {
         node.missing_items.item_ordered.notified().await;
         let now = node.now();
         let ordered = std::mem::take(&mut *node.missing_items.ordered.lock());
         let mut reports: HashMap<Ipv4Addr, Vec<PendingItem>> = HashMap::new();
         for item in ordered {
-            let askers = node.missing_items.askers.lock().remove(&item).unwrap_or_default();
-            let recent = askers.into_iter().filter(|(_, at)| now.since(*at) < ASKER_TTL);
+            let requesters = node.missing_items.requesters.lock().remove(&item).unwrap_or_default();
+            let recent = requesters.into_iter().filter(|(_, at)| now.since(*at) < REQUEST_TTL);
             for (ip, _) in recent {
                 reports.entry(ip).or_default().extend(pending_report(&node, &item, now));
             }
@@ -127,9 +127,9 @@
     for item in items {
         let report = pending_report(node, item, now);
         if report.is_empty() {
-            let mut askers = node.missing_items.askers.lock();
-            let boxes = askers.entry(item.clone()).or_default();
-            boxes.retain(|_, at| now.since(*at) < ASKER_TTL);
+            let mut requesters = node.missing_items.requesters.lock();
+            let boxes = requesters.entry(item.clone()).or_default();
+            boxes.retain(|_, at| now.since(*at) < REQUEST_TTL);
             boxes.insert(ip, now);
         }
         known.extend(report);
--- a/trackfrontd/src/serving/notices/broadcast.rs
+++ b/trackfrontd/src/serving/notices/broadcast.rs
@@ -82,9 +82,9 @@
 }
 
 /// Applies the notices that another box sent.
-fn apply_notices(node: &ServingNode, told: &[NoticeRecord], by: &str) {
+fn apply_notices(node: &ServingNode, notices: &[NoticeRecord], by: &str) {
     let now = node.now();
-    for notice in told {
+    for notice in notices {
         let Some(server) = node.names.lock().server(notice.server).cloned() else {
             continue;
         };
@@ -119,21 +119,21 @@
         if due.is_empty() {
             continue;
         }
-        let told: Vec<NoticeRecord> = {
+        let notices: Vec<NoticeRecord> = {
             let (cold, tracker) = (node.cold.lock(), node.notices.lock());
             due.iter().flat_map(|server| records_of(&tracker, &cold, server, now)).collect()
         };
         let all = node.peers.lock().to_tell_all(now);
-        for some in told.chunks(NOTICES_PER_MESSAGE) {
-            send(&socket, some, false, &all.directly).await;
-            send(&socket, some, true, &all.to_hand_on).await;
+        for chunk in notices.chunks(NOTICES_PER_MESSAGE) {
+            send(&socket, chunk, false, &all.directly).await;
+            send(&socket, chunk, true, &all.to_hand_on).await;
         }
     }
 }
 
 async fn send(socket: &PeerSocket, notices: &[NoticeRecord], forward: bool, boxes: &[Ipv4Addr]) {
-    let told = NoticeBatch { notices: notices.to_vec(), forward };
-    socket.send(&Message::Notices(told), boxes).await;
+    let batch = NoticeBatch { notices: notices.to_vec(), forward };
+    socket.send(&Message::Notices(batch), boxes).await;
 }
 
 /// Handles a batch of notices from another box, and forwards it within this box's part of its hall
@@ -142,12 +142,12 @@
     node: &ServingNode,
     socket: &PeerSocket,
     from: Ipv4Addr,
-    told: NoticeBatch,
+    batch: NoticeBatch,
 ) {
-    apply_notices(node, &told.notices, &from.to_string());
-    if told.forward {
+    apply_notices(node, &batch.notices, &from.to_string());
+    if batch.forward {
         let part = node.peers.lock().own_part(node.now());
-        send(socket, &told.notices, false, &part).await;
+        send(socket, &batch.notices, false, &part).await;
     }
 }
 
@@ -201,9 +201,9 @@
         // Notices refer to servers by short names, which this box can only resolve once it knows
         // the servers.
         if node.knows_servers()
-            && let Some(told) = exchange::fetch_notices(&node, &others).await
+            && let Some(notices) = exchange::fetch_notices(&node, &others).await
         {
-            return apply_notices(&node, &told, "a copy of another box");
+            return apply_notices(&node, &notices, "a copy of another box");
         }
         sleep(FETCH_RETRY_DELAY).await;
     }
--- a/trackfrontd/src/serving/notices/mod.rs
+++ b/trackfrontd/src/serving/notices/mod.rs
@@ -47,10 +47,10 @@
     let mut notice = head.notice;
     notice.back_off =
         notice.back_off.map(|wait| wait.mul_f64(1.0 + BACK_OFF_JITTER * jitter_of(node, id)));
-    let learned = node.notices.lock().apply(id, &notice, source, now);
-    for learned in learned {
-        record(node, id, learned, by);
-        if needs_broadcast(learned) {
+    let changes = node.notices.lock().apply(id, &notice, source, now);
+    for change in changes {
+        record(node, id, change, by);
+        if needs_broadcast(change) {
             node.notice_outbox.add(id, now);
         }
     }
@@ -80,13 +80,13 @@
 }
 
 /// Returns whether other boxes must be informed. A server asks each box itself to back off.
-fn needs_broadcast(learned: NoticeChange) -> bool {
-    !matches!(learned, NoticeChange::BacksOff(_))
+fn needs_broadcast(change: NoticeChange) -> bool {
+    !matches!(change, NoticeChange::BacksOff(_))
 }
 
 /// Logs and counts what was learned about a server.
-fn record(node: &ServingNode, server: &BackendId, learned: NoticeChange, by: &str) {
-    let kind = match learned {
+fn record(node: &ServingNode, server: &BackendId, change: NoticeChange, by: &str) {
+    let kind = match change {
         NoticeChange::Leaves => {
             log::info!(server:%, by; "server announced that it is leaving");
             LEAVES
--- a/trackfrontd/src/serving/order_holder.rs
+++ b/trackfrontd/src/serving/order_holder.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Report {
     ip: Ipv4Addr,
-    gives: bool,
+    holds_lease: bool,
     /// When the holder announced this, to this box or to another.
     at: Moment,
     is_relayed: bool,
@@ -32,44 +32,50 @@
 
 impl KnownHolder {
     /// Records what a box announced to this one in its digest.
-    pub fn receive(&mut self, ip: Ipv4Addr, gives: bool, now: Moment) {
-        let was_giver = self.last.is_some_and(|last| last.ip == ip);
-        if gives || was_giver {
-            self.last = Some(Report { ip, gives, at: now, is_relayed: false });
+    pub fn receive(&mut self, ip: Ipv4Addr, holds_lease: bool, now: Moment) {
+        let was_holder = self.last.is_some_and(|last| last.ip == ip);
+        if holds_lease || was_holder {
+            self.last = Some(Report { ip, holds_lease, at: now, is_relayed: false });
         }
     }
 
     /// Applies the report of another box on the holder. `me` is the address of this box.
-    pub fn apply_report(&mut self, told: &HolderReport, me: Ipv4Addr, now: Moment) {
-        let right = told.lease.map(|right| right.announcement(now));
-        let known = self.relayed_announcement.map_or(0, |right| right.version);
-        self.relayed_announcement =
-            right.filter(|right| right.version > known).or(self.relayed_announcement);
-        let at = Moment(now.0.saturating_sub(Duration::from_millis(u64::from(told.age_ms))));
+    pub fn apply_report(&mut self, report: &HolderReport, me: Ipv4Addr, now: Moment) {
+        let announcement = report.lease.map(|lease| lease.announcement(now));
+        let known = self.relayed_announcement.map_or(0, |announcement| announcement.version);
+        self.relayed_announcement = announcement
+            .filter(|announcement| announcement.version > known)
+            .or(self.relayed_announcement);
+        let at = Moment(now.0.saturating_sub(Duration::from_millis(u64::from(report.age_ms))));
         let is_newer = self.last.is_none_or(|last| at > last.at);
-        if told.ip != me && is_newer {
-            self.last = Some(Report { ip: told.ip, gives: told.holds_lease, at, is_relayed: true });
+        if report.ip != me && is_newer {
+            self.last = Some(Report {
+                ip: report.ip,
+                holds_lease: report.holds_lease,
+                at,
+                is_relayed: true,
+            });
         }
     }
 
-    /// Returns the report for other boxes; `right` looks up the announcement that this box received
-    /// from the holder itself.
+    /// Returns the report for other boxes; `announcement_of` looks up the announcement that this box
+    /// received from the holder itself.
     pub fn report(
         &self,
-        right: impl Fn(Ipv4Addr) -> Option<LeaseAnnouncement>,
+        announcement_of: impl Fn(Ipv4Addr) -> Option<LeaseAnnouncement>,
         now: Moment,
     ) -> Option<HolderReport> {
         let last = self.last.filter(|last| now.since(last.at) < RELAYED_ALIVE_FOR)?;
-        let announcements = right(last.ip).into_iter().chain(self.relayed_announcement);
-        let right = announcements.max_by_key(|right| right.version);
-        let right = right.and_then(|right| LeaseReport::from_announcement(right, now));
+        let announcements = announcement_of(last.ip).into_iter().chain(self.relayed_announcement);
+        let newest = announcements.max_by_key(|announcement| announcement.version);
+        let lease = newest.and_then(|newest| LeaseReport::from_announcement(newest, now));
         let age_ms = u32::try_from(now.since(last.at).as_millis()).unwrap_or(u32::MAX);
-        Some(HolderReport { ip: last.ip, holds_lease: last.gives, age_ms, lease: right })
+        Some(HolderReport { ip: last.ip, holds_lease: last.holds_lease, age_ms, lease })
     }
 
     /// Returns the holder of the order lease, if it counts as alive.
     pub fn live_holder(&self, now: Moment) -> Option<Ipv4Addr> {
-        let last = self.last.filter(|last| last.gives)?;
+        let last = self.last.filter(|last| last.holds_lease)?;
         let timeout = if last.is_relayed { RELAYED_ALIVE_FOR } else { PEER_TIMEOUT };
         (now.since(last.at) < timeout).then_some(last.ip)
     }
--- a/trackfrontd/src/serving/permits.rs
+++ b/trackfrontd/src/serving/permits.rs
@@ -98,16 +98,15 @@
     per_s: f64,
     max_wait: Duration,
 ) -> Option<Moment> {
-    let asked = node.now();
+    let now = node.now();
     let short_name = short_server(server);
     // As long as it knows only some of the boxes, this box might take itself for the coordinator.
-    let coordinator =
-        node.are_boxes_listed().then(|| coordinator(node, short_name, asked)).flatten();
+    let coordinator = node.are_boxes_listed().then(|| coordinator(node, short_name, now)).flatten();
     let Some(coordinator) = coordinator else {
-        node.permits.gates.lock().close_without_coordinator(server, asked);
+        node.permits.gates.lock().close_without_coordinator(server, now);
         return None;
     };
-    let ask = PermitRequest {
+    let request = PermitRequest {
         number: node.permits.last_number.fetch_add(1, Ordering::Relaxed),
         server: short_name,
         per_s,
@@ -116,8 +115,8 @@
     };
     let me = node.settings.load().node.ip;
     let answer = match coordinator.id == box_id(me) {
-        true => Some(issue(node, &ask)),
-        false => ask_peer(node, coordinator.id, ask).await,
+        true => Some(issue(node, &request)),
+        false => request_from_peer(node, coordinator.id, request).await,
     };
     let now = node.now();
     match answer {
@@ -129,7 +128,7 @@
         None => {
             node.permits.gates.lock().mark_unresponsive(coordinator.id, now);
             let coordinator = Ipv4Addr::from_bits(coordinator.id.0);
-            log::info!(server:%, keeper:% = coordinator, is_stand_in = ask.is_stand_in; "no reply to a permit request");
+            log::info!(server:%, keeper:% = coordinator, is_stand_in = request.is_stand_in; "no reply to a permit request");
             None
         }
     }
@@ -143,17 +142,17 @@
 }
 
 /// Requests a permit from another box; returns `None` if it doesn't answer in time.
-async fn ask_peer(
+async fn request_from_peer(
     node: &ServingNode,
     coordinator: BoxId,
-    ask: PermitRequest,
+    request: PermitRequest,
 ) -> Option<PermitAnswer> {
-    let (tell, told) = oneshot::channel();
-    node.permits.pending.lock().insert(ask.number, tell);
-    let pending = PendingRequest { permits: &node.permits, number: ask.number };
-    node.permits.outgoing.lock().push((Ipv4Addr::from_bits(coordinator.0), ask));
+    let (sender, receiver) = oneshot::channel();
+    node.permits.pending.lock().insert(request.number, sender);
+    let pending = PendingRequest { permits: &node.permits, number: request.number };
+    node.permits.outgoing.lock().push((Ipv4Addr::from_bits(coordinator.0), request));
     node.permits.wake.notify_one();
-    let answer = timeout(REPLY_TIMEOUT, told).await;
+    let answer = timeout(REPLY_TIMEOUT, receiver).await;
     drop(pending);
     answer.ok()?.ok()
 }
@@ -162,54 +161,61 @@
 pub async fn send_requests(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     loop {
         node.permits.wake.notified().await;
-        let asks = std::mem::take(&mut *node.permits.outgoing.lock());
-        for (to, ask) in asks {
-            socket.send_now(&Message::PermitRequest(ask), to);
+        let requests = std::mem::take(&mut *node.permits.outgoing.lock());
+        for (to, request) in requests {
+            socket.send_now(&Message::PermitRequest(request), to);
         }
     }
 }
 
 /// Answers another box's request, unless this box doesn't know all boxes yet.
-pub fn answer(node: &ServingNode, socket: &PeerSocket, from: Ipv4Addr, ask: &PermitRequest) {
-    if !node.are_boxes_listed() || !ask.per_s.is_finite() {
+pub fn answer(node: &ServingNode, socket: &PeerSocket, from: Ipv4Addr, request: &PermitRequest) {
+    if !node.are_boxes_listed() || !request.per_s.is_finite() {
         return;
     }
-    let (is_given, wait) = match issue(node, ask) {
+    let (is_given, wait) = match issue(node, request) {
         PermitAnswer::GrantedIn(wait) => (true, wait),
         PermitAnswer::NotBefore(wait) => (false, wait),
     };
     let wait_ms = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
     socket.send_now(
-        &Message::PermitReply(PermitReply { number: ask.number, is_granted: is_given, wait_ms }),
+        &Message::PermitReply(PermitReply {
+            number: request.number,
+            is_granted: is_given,
+            wait_ms,
+        }),
         from,
     );
 }
 
 /// Issues a permit as the coordinator, by the limit that this box knows, or else the one in the
 /// request.
-fn issue(node: &ServingNode, ask: &PermitRequest) -> PermitAnswer {
+fn issue(node: &ServingNode, request: &PermitRequest) -> PermitAnswer {
     let now = node.now();
-    let server = node.names.lock().server(ask.server).cloned();
+    let server = node.names.lock().server(request.server).cloned();
     let known = server.and_then(|server| node.notices.lock().limit_per_s(&server));
     let (reached, all) = {
         let peers = node.peers.lock();
         (peers.reachable(now).len() + 1, peers.sharing(now))
     };
-    let per_s = coordinator_rate(known.unwrap_or(ask.per_s), reached, all, ask.is_stand_in);
-    let max_wait = Duration::from_millis(u64::from(ask.max_wait_ms));
-    node.permits.issuer.lock().request(ask.server, per_s, max_wait, now)
+    let per_s = coordinator_rate(known.unwrap_or(request.per_s), reached, all, request.is_stand_in);
+    let max_wait = Duration::from_millis(u64::from(request.max_wait_ms));
+    node.permits.issuer.lock().request(request.server, per_s, max_wait, now)
 }
 
 /// Handles a coordinator's reply. A permit that is no longer awaited expires unused.
-pub fn handle_reply(node: &ServingNode, told: PermitReply) {
-    let Some(tell) = node.permits.pending.lock().remove(&told.number) else {
+pub fn handle_reply(node: &ServingNode, reply: PermitReply) {
+    let Some(sender) = node.permits.pending.lock().remove(&reply.number) else {
         return;
     };
-    let wait = Duration::from_millis(u64::from(told.wait_ms));
-    let answer =
-        if told.is_granted { PermitAnswer::GrantedIn(wait) } else { PermitAnswer::NotBefore(wait) };
+    let wait = Duration::from_millis(u64::from(reply.wait_ms));
+    let answer = if reply.is_granted {
+        PermitAnswer::GrantedIn(wait)
+    } else {
+        PermitAnswer::NotBefore(wait)
+    };
     // The awaiting task may have ended in the meantime.
-    let _ = tell.send(answer);
+    let _ = sender.send(answer);
 }
 
 /// Drops expired permits and gates.
--- a/trackfrontd/src/serving/pipeline/admission.rs
+++ b/trackfrontd/src/serving/pipeline/admission.rs
@@ -79,8 +79,9 @@
             return Duration::ZERO;
         };
         let loads = self.node.loads.lock();
-        let reading = f64::from(self.info.prompt_tokens) * loads.prefill_ms_per_token(&item.model);
-        Duration::from_secs_f64(reading / 1_000.0)
+        let prefill_ms =
+            f64::from(self.info.prompt_tokens) * loads.prefill_ms_per_token(&item.model);
+        Duration::from_secs_f64(prefill_ms / 1_000.0)
     }
 
     /// Counts whether a server was free when the request arrived.
--- a/trackfrontd/src/serving/pipeline/attempt.rs
+++ b/trackfrontd/src/serving/pipeline/attempt.rs
@@ -33,7 +33,7 @@
 /// How long the choice of a server stays valid until the request is sent: twice the connect
 /// timeout, and short against the seconds for which a leaving server keeps serving. It is only
 /// exceeded if the process stood still or the machine was suspended.
-const CHOICE_VALID_FOR: Duration = Duration::from_millis(500);
+const MAX_CHOICE_AGE: Duration = Duration::from_millis(500);
 
 /// The maximum idle time of a pooled connection for a request that may be repeated.
 const MAX_IDLE_REPEATABLE: Duration = Duration::from_secs(20);
@@ -49,7 +49,7 @@
 /// Counts a request as in flight at a server until it is dropped.
 pub struct SendGuard {
     node: Arc<ServingNode>,
-    counted: Option<TrackedRequest>,
+    tracked: Option<TrackedRequest>,
     item: Option<ModelRef>,
     request: RequestId,
     fingerprint: Fingerprint,
@@ -62,8 +62,8 @@
     /// Records the first event of the answer.
     pub fn record_first_event(&mut self) {
         let now = self.node.now();
-        if let Some(counted) = &mut self.counted {
-            self.node.loads.lock().first_event(counted, now);
+        if let Some(tracked) = &mut self.tracked {
+            self.node.loads.lock().first_event(tracked, now);
         }
     }
 
@@ -74,8 +74,8 @@
     }
 
     /// Records that the server's answer ended, whatever its status.
-    pub fn record_answer(&mut self, ending: AttemptOutcome) {
-        self.finish(ending);
+    pub fn record_answer(&mut self, outcome: AttemptOutcome) {
+        self.finish(outcome);
         self.node.crashes.record_alive(&self.server.entry.id, self.node.now());
         if self.has_own_end {
             crashes::request_completed(&self.node, self.fingerprint);
@@ -83,19 +83,19 @@
     }
 
     /// Records how the request ended at the server. Later calls have no effect.
-    pub fn finish(&mut self, ending: AttemptOutcome) {
+    pub fn finish(&mut self, outcome: AttemptOutcome) {
         let now = self.node.now();
-        if let Some(counted) = self.counted.take() {
+        if let Some(tracked) = self.tracked.take() {
             if let Some(item) = &self.item {
-                self.node.adapter_use.lock().end(counted.server(), item);
+                self.node.adapter_use.lock().end(tracked.server(), item);
             }
-            self.node.loads.lock().end(counted, ending, now);
+            self.node.loads.lock().end(tracked, outcome, now);
         }
     }
 
     /// Returns the expected time to the first event, in milliseconds.
     pub fn expected_ms(&self) -> f64 {
-        self.counted.as_ref().map_or(0.0, TrackedRequest::expected_ms)
+        self.tracked.as_ref().map_or(0.0, TrackedRequest::expected_ms)
     }
 }
 
@@ -196,8 +196,8 @@
     ) -> Option<Request<Full<Bytes>>> {
         let now = self.node.now();
         let request_time = self.request_time_at(now);
-        let stands = now.since(choice.at) <= CHOICE_VALID_FOR;
-        let may_send = stands && self.key_is_good(now) && self.may_pass_quarantine();
+        let is_recent = now.since(choice.at) <= MAX_CHOICE_AGE;
+        let may_send = is_recent && self.key_is_good(now) && self.may_pass_quarantine();
         if !may_send
             || request_time >= self.answer_by
             || !self.may_send_to(&choice.server, permit, now)
@@ -316,8 +316,8 @@
         let model = self.info.model.as_ref().map(|item| &item.model);
         let work = self.info.work(choice.cached_tokens, self.rank);
         let slots = choice.server.entry.slots.max(1);
-        let mut counted = node.loads.lock().begin(id, slots, model, work, now);
-        counted.expect(choice.estimate);
+        let mut tracked = node.loads.lock().begin(id, slots, model, work, now);
+        tracked.expect(choice.estimate);
         if !self.prefixes.is_empty() {
             node.prompt_memory.lock().record_prefill(&self.prefixes, id, now);
         }
@@ -327,7 +327,7 @@
         }
         SendGuard {
             node,
-            counted: Some(counted),
+            tracked: Some(tracked),
             item,
             request: self.info.id.clone(),
             fingerprint: self.fingerprint,
@@ -341,7 +341,7 @@
         let now = self.node.now();
         let age = |moment: Moment| now.since(moment).as_millis() as u64;
         let list = self.node.directory.lock().newest();
-        let heard = self.node.feed_state.lock().silence(FeedKind::Servers, now);
+        let list_age = self.node.feed_state.lock().silence(FeedKind::Servers, now);
         log::info!(
             request:% = self.info.id,
             fingerprint:% = self.fingerprint,
@@ -351,7 +351,7 @@
             row = known.version,
             row_age_ms = age(known.learned),
             list,
-            list_age_ms = heard.map_or(-1, |silence| silence.as_millis() as i64),
+            list_age_ms = list_age.map_or(-1, |age| age.as_millis() as i64),
             expected_ms = expected_ms as u64,
             requests = choice.requests,
             waiting = choice.waiting,
--- a/trackfrontd/src/serving/pipeline/choice.rs
+++ b/trackfrontd/src/serving/pipeline/choice.rs
@@ -47,8 +47,8 @@
         let mut loads = node.loads.lock();
         let overlay = node.overlay.lock();
         let (start, terms) = (self.cold_start(), settings.promises.cold());
-        let book = node.cold.lock();
-        let cold = ColdView { start, terms, book: &book, evacuations: &evacuations };
+        let cold_tracker = node.cold.lock();
+        let cold = ColdView { start, terms, tracker: &cold_tracker, evacuations: &evacuations };
         let (notices, gates) = (node.notices.lock(), node.permits.gates.lock());
         let view = NodeView {
             overlay: &overlay,
@@ -88,8 +88,8 @@
         let holders = directory.holding(&item.model).iter().filter(is_candidate);
         let holds = |known: &&Arc<KnownServer>| known.entry.models.contains_key(&item.model);
         let listed = |id: &BackendId| {
-            let place = all.binary_search_by(|known| known.entry.id.cmp(id)).ok()?;
-            Some(&all[place])
+            let index = all.binary_search_by(|known| known.entry.id.cmp(id)).ok()?;
+            Some(&all[index])
         };
         let added = overlay.added_to(item).filter_map(listed).filter(|known| !holds(known));
         match choose_among(&mut holders.chain(added)) {
--- a/trackfrontd/src/serving/pipeline/limit.rs
+++ b/trackfrontd/src/serving/pipeline/limit.rs
@@ -99,12 +99,13 @@
                 (Refusal::NoServer { cause, retry_after }, cause, retry_after)
             }
         };
-        let keeper = self.node.quotas.keeper(id).map(|id| Ipv4Addr::from_bits(id.0).to_string());
-        let keeper = keeper.unwrap_or_default();
+        let coordinator =
+            self.node.quotas.keeper(id).map(|id| Ipv4Addr::from_bits(id.0).to_string());
+        let coordinator = coordinator.unwrap_or_default();
         let (request, wait_ms) = (&self.info.id, wait.as_millis() as u64);
         let (account, config) = (account.name.as_str(), self.config.version);
         let (per_s, burst) = (limit.per_s, limit.burst);
-        log::info!(request:%, account, units, per_s, burst, keeper, wait_ms, config, cause; "units refused");
+        log::info!(request:%, account, units, per_s, burst, keeper = coordinator, wait_ms, config, cause; "units refused");
         Err(refusal)
     }
 }
--- a/trackfrontd/src/serving/pipeline/mod.rs
+++ b/trackfrontd/src/serving/pipeline/mod.rs
@@ -158,8 +158,8 @@
     end.account = account.as_ref().map(|account| account.name.clone());
     let deadline = info.deadline.map(|left| arrived + left);
     let timeout = arrived + route.timeout;
-    let last = deadline.map_or(timeout, |deadline| deadline.min(timeout)) - ANSWER_MARGIN;
-    let time = last.saturating_duration_since(arrived);
+    let answer_by = deadline.map_or(timeout, |deadline| deadline.min(timeout)) - ANSWER_MARGIN;
+    let time = answer_by.saturating_duration_since(arrived);
     let limit = config.limits.body_bytes;
     let body = read_body(body, limit, time).await.map_err(|error| match error {
         ReadBodyError::TooLarge => Refusal::TooLarge { limit },
@@ -187,7 +187,7 @@
         arrived_at,
         since_first_try,
         deadline,
-        answer_by: last,
+        answer_by,
         config,
         saw_silence: AtomicBool::new(false),
         is_trial: AtomicBool::new(false),
@@ -368,11 +368,11 @@
 
     fn may_retry(&self, attempts: &Attempts) -> bool {
         let in_time = self.request_time() < self.answer_by;
-        let may_run = attempts.may_have_run.is_none() && attempts.failure.is_none();
+        let has_not_run = attempts.may_have_run.is_none() && attempts.failure.is_none();
         let attempts_left = attempts.sends < self.route.max_attempts;
         let reachable = attempts.unreachable + attempts.ended < MAX_UNREACHABLE
             && attempts.not_listening < MAX_NOT_LISTENING;
-        let may_repeat = may_run || (self.route.is_idempotent() && !self.may_crash_servers());
+        let may_repeat = has_not_run || (self.route.is_idempotent() && !self.may_crash_servers());
         in_time && reachable && attempts_left && may_repeat
     }
 
--- a/trackfrontd/src/serving/placement.rs
+++ b/trackfrontd/src/serving/placement.rs
@@ -68,9 +68,9 @@
 
 impl Placement {
     /// Creates a placement that doesn't hold the lease.
-    pub fn new(node: Arc<ServingNode>, giving: Arc<HoldsOrderLease>) -> Self {
+    pub fn new(node: Arc<ServingNode>, holds_lease: Arc<HoldsOrderLease>) -> Self {
         let order_fence = Arc::new(OrderFence::default());
-        let lease = OrderLease::new(node.clone(), order_fence.clone(), giving);
+        let lease = OrderLease::new(node.clone(), order_fence.clone(), holds_lease);
         let terms = node.settings.load().promises.loads();
         let tracker = OrderTracker::new(LoadPacer::new(terms, node.now()));
         let (tracker, tasks) = (Arc::new(Mutex::new(tracker)), JoinSet::new());
--- a/trackfrontd/src/serving/run.rs
+++ b/trackfrontd/src/serving/run.rs
@@ -75,7 +75,7 @@
     tasks.spawn(follow::follow_servers(node.clone(), socket.clone()));
     tasks.spawn(gossip::tell(node.clone(), socket.clone(), giving.clone()));
     tasks.spawn(boxes::list_boxes(node.clone(), socket.clone()));
-    tasks.spawn(missing_items::notify_askers(node.clone(), socket.clone()));
+    tasks.spawn(missing_items::notify_requesters(node.clone(), socket.clone()));
     tasks.spawn(config_freshness::track_config_freshness(node.clone(), socket.clone()));
     tasks.spawn(cold::maintain_senders(node.clone()));
     tasks.spawn(quota::maintain_quotas(node.clone(), socket.clone()));
