--- a/trackfrontd/src/serving/boxes.rs
+++ b/trackfrontd/src/serving/boxes.rs
@@ -88,7 +88,7 @@
 }
 
 /// Writes this box's row and learns of the others, then lists them again but seldom.
-pub async fn list_boxes(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
+pub async fn maintain_box_list(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     let start = match node.settings.load().node.first_start {
         true => {
             node.set_prefers_snapshots();
@@ -107,7 +107,7 @@
         _ => {
             // The strongest list first, and tell the others.
             let strength = node.settings.load().resources.capacity();
-            let pause = FIRST_LIST + FIRST_LIST_SPREAD.mul_f64(moment) * strength.turn();
+            let pause = FIRST_LIST + FIRST_LIST_SPREAD.mul_f64(moment) * strength.delay_factor();
             node.extend_discovery(pause);
             sleep(pause).await;
         }
@@ -189,7 +189,7 @@
     let boxes: Vec<ListedBox> = rows.iter().filter_map(listed).collect();
     {
         let mut peers = node.peers.lock();
-        boxes.iter().for_each(|one| peers.list(*one, node.now()));
+        boxes.iter().for_each(|one| peers.add_listed(*one, node.now()));
     }
     // These may be asked for other copies at once; the list of all can take longer.
     node.finish_first_listing();
@@ -224,7 +224,7 @@
 }
 
 /// Waits for the list of boxes as long as it is worth it.
-pub async fn wait_for_list(node: &ServingNode) {
+pub async fn wait_for_box_list(node: &ServingNode) {
     if !node.settings.load().node.first_start {
         let ended = node.first_listing_finished();
         // Without the list the box reads from the platform itself.
@@ -238,7 +238,7 @@
 
 /// Returns whether a box that lacks something at its start, and was given no copy, waits for others to have one: those
 /// that read for their halls get it from the platform. It does not wait for ever.
-pub async fn waits_for_copy(node: &ServingNode) -> bool {
+pub async fn wait_for_snapshot(node: &ServingNode) -> bool {
     let age = node.age();
     let is_reader = node.peers.lock().hall_peers(node.is_store_lost(), node.now()).is_reader();
     let must_read = is_reader && !node.is_discovering_peers();
@@ -255,13 +255,13 @@
 }
 
 /// Takes in a list that another box read, and hands it on to its part of the hall if it is to.
-pub async fn take_in(node: &ServingNode, socket: &PeerSocket, told: BoxListUpdate) {
+pub async fn apply_update(node: &ServingNode, socket: &PeerSocket, told: BoxListUpdate) {
     if !note_all(node, &told.boxes) || !told.forward {
         return;
     }
     let part = {
         let peers = node.peers.lock();
-        peers.own_part(node.now())
+        peers.forward_targets(node.now())
     };
     let told = BoxListUpdate { forward: false, ..told };
     socket.send(&Message::BoxList(told), &part).await;
@@ -275,7 +275,7 @@
     }
     let now = node.now();
     let mut peers = node.peers.lock();
-    boxes.iter().for_each(|one| peers.list(*one, now));
+    boxes.iter().for_each(|one| peers.add_listed(*one, now));
     drop(peers);
     if !node.has_received_box_list() {
         log::info!(boxes = boxes.len(); "boxes told of");
@@ -294,7 +294,7 @@
     let boxes: Vec<ListedBox> = rows.iter().filter_map(listed).collect();
     let has_own_row = boxes.iter().any(|one| one.ip == me);
     let mut peers = node.peers.lock();
-    boxes.iter().for_each(|one| peers.list(*one, now));
+    boxes.iter().for_each(|one| peers.add_listed(*one, now));
     drop(peers);
     log::info!(boxes = boxes.len(), has_own_row; "boxes listed");
     // A list from before this box wrote its row may lack others that start now as well. Taken for one of all, it made
@@ -325,11 +325,11 @@
 async fn tell(node: &ServingNode, socket: &PeerSocket) {
     let (boxes, all) = {
         let peers = node.peers.lock();
-        (peers.listed(), peers.to_tell_all(node.now()))
+        (peers.listed_boxes(), peers.broadcast_targets(node.now()))
     };
     let told = |forward| Message::BoxList(BoxListUpdate { boxes: boxes.clone(), forward });
-    socket.send(&told(true), &all.to_hand_on).await;
-    socket.send(&told(false), &all.directly).await;
+    socket.send(&told(true), &all.forwarders).await;
+    socket.send(&told(false), &all.direct).await;
 }
 
 fn hall_prefix(node: &ServingNode) -> String {
--- a/trackfrontd/src/serving/config_freshness.rs
+++ b/trackfrontd/src/serving/config_freshness.rs
@@ -79,7 +79,7 @@
 
 impl ConfigFreshness {
     /// Notes that the configuration of a row is in force.
-    pub fn in_force(&self, row: u64) {
+    pub fn set_in_force(&self, row: u64) {
         self.freshness.lock().in_force(row);
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Returns what this box can tell others at `now`.
-    pub fn known(&self, now: Moment) -> Option<ConfirmedRow> {
+    pub fn confirmed_row(&self, now: Moment) -> Option<ConfirmedRow> {
         let freshness = self.freshness.lock();
         let age = freshness.age(now)?;
         // Rounded up: an age that is told too small would lengthen the life of a removed key.
@@ -98,7 +98,7 @@
     }
 
     /// Takes in what another box told that was asked at `asked_at`.
-    pub fn told(&self, told: ConfirmedRow, asked_at: Moment) {
+    pub fn merge_report(&self, told: ConfirmedRow, asked_at: Moment) {
         let age = Duration::from_millis(u64::from(told.age_ms));
         self.freshness.lock().told(told.row, age, asked_at);
     }
@@ -118,7 +118,7 @@
 pub async fn track_config_freshness(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     let mut store = StoreCheck { node: node.clone(), fails: false };
     let mut was_usable = true;
-    let mut waking = node.suspensions.follow();
+    let mut waking = node.suspensions.subscribe();
     loop {
         let needs_keys =
             node.config.load().as_ref().is_some_and(|config| config.accounts.is_some());
@@ -128,13 +128,14 @@
             continue;
         };
         // What was found out before a suspension is too old now, and a question that it broke into may stay open.
-        waking.take();
+        waking.acknowledge();
         let began = node.now();
         let mates = hall_peers(&node);
         let age = node.config_freshness.age(began);
         log_change(&node, terms, age, &mut was_usable);
         ask(&node, &socket, terms, &mates, age).await;
-        if must_ask_store(&node, terms, &mates, age) && waking.unless(store.check()).await.is_none()
+        if must_ask_store(&node, terms, &mates, age)
+            && waking.unless_suspended(store.check()).await.is_none()
         {
             continue;
         }
@@ -142,7 +143,7 @@
             node.config_freshness.age(node.now()).is_none_or(|age| age >= terms.wider_after());
         let pause = if is_late { terms.ask_every() / HURRY } else { terms.ask_every() };
         // Asked again in any case, at once after a suspension.
-        let _ = waking.unless(sleep(pause.saturating_sub(node.now().since(began)))).await;
+        let _ = waking.unless_suspended(sleep(pause.saturating_sub(node.now().since(began)))).await;
     }
 }
 
@@ -218,7 +219,7 @@
                 match is_newest {
                     true => node.config_freshness.confirm(row, asked_at),
                     // Whatever is newer has a larger version; it is read now, beside the feed.
-                    false => node.feed_state.lock().note_config(row + 1, None),
+                    false => node.feed_state.lock().record_config_row(row + 1, None),
                 }
             }
             Err(error) => {
@@ -233,13 +234,13 @@
 }
 
 /// Answers a box that asks.
-pub fn answer(
+pub fn handle_request(
     node: &ServingNode,
     socket: &PeerSocket,
     ip: Ipv4Addr,
     question: ConfigVersionRequest,
 ) {
-    let Some(ConfirmedRow { row, age_ms }) = node.config_freshness.known(node.now()) else {
+    let Some(ConfirmedRow { row, age_ms }) = node.config_freshness.confirmed_row(node.now()) else {
         return;
     };
     let told = ConfigVersionReply { number: question.number, row, age_ms };
@@ -247,7 +248,7 @@
 }
 
 /// Takes in the answer of another box.
-pub fn take_in(node: &ServingNode, ip: Ipv4Addr, told: ConfigVersionReply) {
+pub fn handle_reply(node: &ServingNode, ip: Ipv4Addr, told: ConfigVersionReply) {
     let asked_at = {
         let mut questions = node.config_freshness.questions.lock();
         let asked_at = questions.asked_at(told.number);
@@ -257,9 +258,10 @@
     let Some(asked_at) = asked_at else {
         return;
     };
-    node.config_freshness.told(ConfirmedRow { row: told.row, age_ms: told.age_ms }, asked_at);
+    node.config_freshness
+        .merge_report(ConfirmedRow { row: told.row, age_ms: told.age_ms }, asked_at);
     if told.row > node.config_row() {
-        node.feed_state.lock().note_config(told.row, Some(ip));
+        node.feed_state.lock().record_config_row(told.row, Some(ip));
         node.feed_update_received.notify_waiters();
     }
 }
--- a/trackfrontd/src/serving/crashes/rows.rs
+++ b/trackfrontd/src/serving/crashes/rows.rs
@@ -47,7 +47,7 @@
 
 /// Loads quarantined requests from other boxes, or from the platform's table if none of them knows.
 async fn load(node: &ServingNode) {
-    boxes::wait_for_list(node).await;
+    boxes::wait_for_box_list(node).await;
     // A box that knows no other box would take itself for the feed reader: of 90 boxes that start,
     // 90 would read.
     while node.is_discovering_peers() {
--- a/trackfrontd/src/serving/delegates.rs
+++ b/trackfrontd/src/serving/delegates.rs
@@ -47,7 +47,7 @@
     }
 
     /// Returns how many times longer than a strong box one like this waits with what one box does for all.
-    pub fn turn(self) -> u32 {
+    pub fn delay_factor(self) -> u32 {
         if self >= STRONG { 1 } else { 2 }
     }
 }
@@ -65,7 +65,7 @@
 
 impl ListedBox {
     /// The place in the order in which boxes do work for others.
-    pub fn place(&self) -> (Reverse<CapacityClass>, Ipv4Addr) {
+    pub fn priority_key(&self) -> (Reverse<CapacityClass>, Ipv4Addr) {
         (Reverse(self.capacity), self.ip)
     }
 }
@@ -79,25 +79,27 @@
 
 impl Halls {
     /// Puts a box in its place; `before` is the place that it had.
-    pub fn put(&mut self, one: ListedBox, before: Option<ListedBox>) {
+    pub fn insert(&mut self, one: ListedBox, before: Option<ListedBox>) {
         if before == Some(one) {
             return;
         }
         if let Some(before) = before {
-            self.take_off(before);
+            self.remove(before);
         }
         let boxes = self.halls.entry(one.hall).or_default();
-        if let Err(place) = boxes.binary_search_by_key(&one.place(), ListedBox::place) {
+        if let Err(place) = boxes.binary_search_by_key(&one.priority_key(), ListedBox::priority_key)
+        {
             boxes.insert(place, one);
             self.boxes += 1;
         }
     }
 
-    fn take_off(&mut self, one: ListedBox) {
+    fn remove(&mut self, one: ListedBox) {
         let Some(boxes) = self.halls.get_mut(&one.hall) else {
             return;
         };
-        if let Ok(place) = boxes.binary_search_by_key(&one.place(), ListedBox::place) {
+        if let Ok(place) = boxes.binary_search_by_key(&one.priority_key(), ListedBox::priority_key)
+        {
             boxes.remove(place);
             self.boxes -= 1;
         }
@@ -112,18 +114,18 @@
     }
 
     /// Returns the boxes of a hall, in order.
-    pub fn of(&self, hall: u32) -> &[ListedBox] {
+    pub fn boxes_in(&self, hall: u32) -> &[ListedBox] {
         self.halls.get(&hall).map_or(&[], Vec::as_slice)
     }
 
     /// Returns the halls.
-    pub fn names(&self) -> impl Iterator<Item = u32> {
+    pub fn ids(&self) -> impl Iterator<Item = u32> {
         self.halls.keys().copied()
     }
 
     /// Returns whether each box of a hall speaks to each.
     pub fn is_small(&self, hall: u32) -> bool {
-        self.of(hall).len() <= SMALL_HALL || self.is_small_fleet()
+        self.boxes_in(hall).len() <= SMALL_HALL || self.is_small_fleet()
     }
 
     /// Returns whether each box speaks to each of all halls.
@@ -132,7 +134,7 @@
     }
 
     /// Returns the boxes that speak for a hall to its own: the first that are not `missing`.
-    pub fn speakers(
+    pub fn local_delegates(
         &self,
         hall: u32,
         missing: impl Fn(Ipv4Addr) -> bool,
@@ -156,7 +158,7 @@
         count: usize,
         missing: impl Fn(Ipv4Addr) -> bool,
     ) -> impl Iterator<Item = Ipv4Addr> {
-        let boxes = self.of(hall).iter().map(|one| one.ip);
+        let boxes = self.boxes_in(hall).iter().map(|one| one.ip);
         boxes.filter(move |ip| !missing(*ip)).take(count)
     }
 }
--- a/trackfrontd/src/serving/exchange.rs
+++ b/trackfrontd/src/serving/exchange.rs
@@ -142,12 +142,12 @@
 }
 
 /// Answers a box that asks for a copy; `None` if the path is not that of a copy.
-pub fn answer(node: &ServingNode, path: &str) -> Option<Response<Body>> {
+pub fn handle_request(node: &ServingNode, path: &str) -> Option<Response<Body>> {
     if path == CRASHES_PATH {
         return Some(copy_response(crashes::snapshot(node).map(|reports| pack(&reports))));
     }
     if path == BOXES_PATH {
-        let boxes = node.are_boxes_listed().then(|| node.peers.lock().listed());
+        let boxes = node.are_boxes_listed().then(|| node.peers.lock().listed_boxes());
         return Some(copy_response(boxes.map(|boxes| pack(&boxes))));
     }
     if path == NOTICES_PATH {
@@ -163,7 +163,7 @@
 
 /// Adds what this box knows of how new its configuration is.
 fn with_newest(node: &ServingNode, mut copy: Response<Body>) -> Response<Body> {
-    if let Some(ConfirmedRow { row, age_ms }) = node.config_freshness.known(node.now()) {
+    if let Some(ConfirmedRow { row, age_ms }) = node.config_freshness.confirmed_row(node.now()) {
         let value = format!("{row} {age_ms}");
         let value = HeaderValue::from_str(&value).expect("digits are valid in a header");
         copy.headers_mut().insert(NEWEST_ROW, value);
@@ -240,9 +240,9 @@
     let asked_at = node.now();
     let Fetched { copy, newest } = fetch_first::<ConfigSnapshot>(node, boxes, &path).await?;
     if let Some(newest) = newest {
-        node.config_freshness.told(newest, asked_at);
+        node.config_freshness.merge_report(newest, asked_at);
     }
-    follow::note_halls(node, &copy.halls, follow::Source::OtherBox);
+    follow::apply_hall_records(node, &copy.halls, follow::Source::OtherBox);
     Some(StoredConfig { row_version: copy.row, config: Ok(copy.config) })
 }
 
--- a/trackfrontd/src/serving/feed_relay.rs
+++ b/trackfrontd/src/serving/feed_relay.rs
@@ -38,7 +38,7 @@
 const SUCCESSOR_STEP: Duration = Duration::from_millis(150);
 
 /// How many changes one message carries: at about 200 bytes each they fit a datagram even unpacked.
-pub const CHANGES_AT_ONCE: usize = 24;
+pub const MAX_CHANGES_PER_MESSAGE: usize = 24;
 
 /// The largest message once it is unpacked, in bytes: some times what so many changes have.
 const MAX_RELAY_BYTES: usize = 64 * 1024;
@@ -65,7 +65,7 @@
         lapses_ms: u64,
     },
     /// How a listing of the servers differs from what the reader knew before, for whoever knows the same.
-    Listed {
+    Listing {
         /// The version that the reader knew.
         from: u64,
         /// The version of the listing.
@@ -79,12 +79,12 @@
 
 impl FeedUpdate {
     /// Returns the message that tells changes of servers.
-    pub fn servers(told: ToldChanges, lapses: Duration) -> Self {
+    pub fn from_changes(told: ToldChanges, lapses: Duration) -> Self {
         let ToldChanges { basis, from, to, changes } = told;
         let lapses_ms = lapses.as_millis() as u64;
         match basis {
             Basis::Feed => FeedUpdate::Servers { from, to, changes, lapses_ms },
-            Basis::Listing => FeedUpdate::Listed { from, to, changes, lapses_ms },
+            Basis::Listing => FeedUpdate::Listing { from, to, changes, lapses_ms },
         }
     }
 }
@@ -126,7 +126,7 @@
     }
 
     /// Notes that something came of a feed.
-    pub fn note(&mut self, kind: FeedKind, now: Moment) {
+    pub fn record(&mut self, kind: FeedKind, now: Moment) {
         match kind {
             FeedKind::Config => self.config_at = Some(now),
             FeedKind::Servers => self.servers_at = Some(now),
@@ -134,7 +134,7 @@
     }
 
     /// Notes a row of the configuration that the hall was told of, by another box or by this one.
-    pub fn note_config(&mut self, row: u64, from: Option<Ipv4Addr>) {
+    pub fn record_config_row(&mut self, row: u64, from: Option<Ipv4Addr>) {
         if row >= self.config_row {
             self.config_row = row;
             self.config_from = from.or(self.config_from);
@@ -147,7 +147,7 @@
     }
 
     /// Returns the box that told of it.
-    pub fn config_from(&self) -> Option<Ipv4Addr> {
+    pub fn config_source(&self) -> Option<Ipv4Addr> {
         self.config_from
     }
 
@@ -164,12 +164,12 @@
 }
 
 /// The time after which a reader that says nothing is taken for lost.
-pub fn fresh_for(drain: Duration) -> Duration {
+pub fn reader_timeout(drain: Duration) -> Duration {
     drain.mul_f64(FRESH_PART)
 }
 
 /// How much longer the box at a place in the order of readers waits after that.
-pub fn successor_wait(rank: usize, drain: Duration) -> Duration {
+pub fn successor_delay(rank: usize, drain: Duration) -> Duration {
     let place = u32::try_from(rank.saturating_sub(1)).unwrap_or(u32::MAX);
     if place < SUCCESSORS_IN_TIME {
         let last = drain.mul_f64(SUCCESSORS_PART - FRESH_PART);
@@ -184,7 +184,7 @@
 }
 
 /// Passes on what the operator wrote: the newest row of the configuration, and the halls, which may be news.
-pub async fn relay_operator(
+pub async fn relay_operator_rows(
     node: &ServingNode,
     socket: &PeerSocket,
     row: u64,
@@ -198,7 +198,7 @@
         let (boxes, is_reader) = (mates.others.len(), mates.is_reader());
         log::info!(row, boxes, is_reader; "hall told of configuration");
     }
-    node.feed_state.lock().note_config(row, None);
+    node.feed_state.lock().record_config_row(row, None);
     // Halls go first, as few know them anew where a configuration is fetched. They are told each time: what one
     // datagram lost, the next brings.
     let words = node.evacuations.lock().words();
@@ -209,7 +209,7 @@
 }
 
 /// Passes on what came of the servers.
-pub async fn relay_servers(node: &ServingNode, socket: &PeerSocket, told: ToldChanges) {
+pub async fn relay_server_changes(node: &ServingNode, socket: &PeerSocket, told: ToldChanges) {
     let is_news = !told.changes.is_empty();
     let Some(mates) = must_tell(node, FeedKind::Servers, is_news) else {
         return;
@@ -220,8 +220,8 @@
         log::info!(from, to, changes, boxes, is_reader; "hall told of servers");
     }
     let lapses = node.directory.lock().lapses_for(node.now());
-    for message in told.messages(CHANGES_AT_ONCE) {
-        let relay = FeedUpdate::servers(message, lapses);
+    for message in told.messages(MAX_CHANGES_PER_MESSAGE) {
+        let relay = FeedUpdate::from_changes(message, lapses);
         // Packed, a change has 80 to 160 bytes instead of 200, the fewer the more go together.
         socket.send(&Message::PackedFeedUpdate(pack(&relay).into()), &mates.others).await;
     }
@@ -236,40 +236,40 @@
     let silence = {
         let mut relayed = node.feed_state.lock();
         let silence = relayed.silence(kind, now);
-        relayed.note(kind, now);
+        relayed.record(kind, now);
         silence
     };
     let mates = hall_peers(node);
-    let was_silent = silence.is_some_and(|silence| silence >= fresh_for(drain));
+    let was_silent = silence.is_some_and(|silence| silence >= reader_timeout(drain));
     let tells = mates.is_reader() || was_silent || is_news;
     (tells && !mates.others.is_empty()).then_some(mates)
 }
 
 /// Takes in what a reader passed on, packed.
-pub fn take_in_packed(node: &ServingNode, from_ip: Ipv4Addr, packed: &[u8]) {
+pub fn apply_packed(node: &ServingNode, from_ip: Ipv4Addr, packed: &[u8]) {
     match unpack::<FeedUpdate, MAX_RELAY_BYTES>(packed) {
-        Ok(relay) => take_in(node, from_ip, relay),
+        Ok(relay) => apply_update(node, from_ip, relay),
         Err(error) => log::warn!(from:% = from_ip, error:% = error; "message not understood"),
     }
 }
 
 /// Takes in what a reader passed on.
-pub fn take_in(node: &ServingNode, from_ip: Ipv4Addr, relay: FeedUpdate) {
+pub fn apply_update(node: &ServingNode, from_ip: Ipv4Addr, relay: FeedUpdate) {
     let now = node.now();
     match relay {
         FeedUpdate::Config { row } => {
             let mut relayed = node.feed_state.lock();
-            relayed.note(FeedKind::Config, now);
-            relayed.note_config(row, Some(from_ip));
+            relayed.record(FeedKind::Config, now);
+            relayed.record_config_row(row, Some(from_ip));
         }
         FeedUpdate::Halls(words) => {
-            follow::note_halls(node, &words, follow::Source::OtherBox);
+            follow::apply_hall_records(node, &words, follow::Source::OtherBox);
         }
         FeedUpdate::Servers { from, to, changes, lapses_ms } => {
             let told = ToldChanges { basis: Basis::Feed, from, to, changes };
             take_servers(node, from_ip, told, Duration::from_millis(lapses_ms));
         }
-        FeedUpdate::Listed { from, to, changes, lapses_ms } => {
+        FeedUpdate::Listing { from, to, changes, lapses_ms } => {
             let told = ToldChanges { basis: Basis::Listing, from, to, changes };
             take_servers(node, from_ip, told, Duration::from_millis(lapses_ms));
         }
@@ -281,7 +281,7 @@
     let now = node.now();
     let (from, to, count) = (told.from, told.to, told.changes.len());
     // A full message may be followed by others.
-    let is_last = count < CHANGES_AT_ONCE;
+    let is_last = count < MAX_CHANGES_PER_MESSAGE;
     let failed_at = node.store_failed_at();
     let mut directory = node.directory.lock();
     if !lapses.is_zero() {
@@ -302,9 +302,9 @@
         let outcome = if misses { "some are missing" } else { "taken" };
         log::info!(by:% = from_ip, from, to, known, changes = count, outcome; "told of servers");
     }
-    follow::note_events(node, events.unwrap_or_default(), to, follow::Source::OtherBox);
+    follow::handle_events(node, events.unwrap_or_default(), to, follow::Source::OtherBox);
     let mut relayed = node.feed_state.lock();
-    relayed.note(FeedKind::Servers, now);
+    relayed.record(FeedKind::Servers, now);
     if misses {
         relayed.servers_gap = Some(Gap { told_by: from_ip });
     }
--- a/trackfrontd/src/serving/follow/config.rs
+++ b/trackfrontd/src/serving/follow/config.rs
@@ -9,10 +9,10 @@
 use trackfront_core::serving::places::HallWord;
 
 use super::Source;
-use super::link::{FIRST_PAUSE, Link};
+use super::feed_client::{FIRST_PAUSE, FeedClient};
 use crate::serving::boxes;
 use crate::serving::exchange;
-use crate::serving::feed_relay::{FeedKind, hall_peers, relay_operator};
+use crate::serving::feed_relay::{FeedKind, hall_peers, relay_operator_rows};
 use crate::serving::node::ServingNode;
 use crate::serving::peer_socket::PeerSocket;
 use crate::serving::quota;
@@ -27,19 +27,21 @@
 
 /// Follows the configuration for as long as the box lives.
 pub async fn follow_config(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
-    let mut link = Link::new(node.clone(), FeedKind::Config);
-    boxes::wait_for_list(&node).await;
+    let mut link = FeedClient::new(node.clone(), FeedKind::Config);
+    boxes::wait_for_box_list(&node).await;
     loop {
         let known = node.config_row();
         let read = match take_copy(&node, &link).await {
             true => Read { version: node.config_row(), halls_are_news: false },
-            false if node.config.load().is_none() && boxes::waits_for_copy(&node).await => continue,
+            false if node.config.load().is_none() && boxes::wait_for_snapshot(&node).await => {
+                continue;
+            }
             false => match read(&node, &mut link).await {
                 Some(read) => read,
                 None => continue,
             },
         };
-        relay_operator(&node, &socket, node.config_row(), read.halls_are_news).await;
+        relay_operator_rows(&node, &socket, node.config_row(), read.halls_are_news).await;
         if node.feed_state.lock().config_row() > node.config_row() && node.config_row() == known {
             // The platform's answer is older than what the reader of the hall has seen.
             sleep(GATHER).await;
@@ -49,9 +51,9 @@
 }
 
 /// Takes the configuration of another box if it is newer. Returns whether it is.
-async fn take_copy(node: &Arc<ServingNode>, link: &Link) -> bool {
+async fn take_copy(node: &Arc<ServingNode>, link: &FeedClient) -> bool {
     let known = node.config_row();
-    let told_by = node.feed_state.lock().config_from();
+    let told_by = node.feed_state.lock().config_source();
     let mut sources = link.sources(told_by);
     if sources.is_empty() && known == 0 {
         sources = boxes::likely_up(node);
@@ -67,7 +69,7 @@
     };
     take(node, stored);
     // Where one box has it, others were told of it.
-    node.feed_state.lock().note_config(node.config_row(), None);
+    node.feed_state.lock().record_config_row(node.config_row(), None);
     node.config_row() > known
 }
 
@@ -80,7 +82,7 @@
 }
 
 /// Reads what the operator wrote from the platform.
-async fn read(node: &Arc<ServingNode>, link: &mut Link) -> Option<Read> {
+async fn read(node: &Arc<ServingNode>, link: &mut FeedClient) -> Option<Read> {
     link.count("read_config");
     let asked_at = node.now();
     match node.ports.knowledge.read_operator().await {
@@ -98,7 +100,7 @@
                 }
             }
             let words = node.evacuations.lock().of_listing(halls, version);
-            let halls_are_news = note_halls(node, &words, Source::Platform);
+            let halls_are_news = apply_hall_records(node, &words, Source::Platform);
             Some(Read { version, halls_are_news })
         }
         Err(error) => {
@@ -112,7 +114,7 @@
 async fn follow_from(
     node: &Arc<ServingNode>,
     socket: &PeerSocket,
-    link: &mut Link,
+    link: &mut FeedClient,
     mut version: u64,
 ) {
     while !link.must_reread() {
@@ -137,12 +139,12 @@
                     match word {
                         OperatorWord::Config(stored) => take(node, stored),
                         OperatorWord::Hall(word) => {
-                            halls_are_news |= note_halls(node, &[word], Source::Platform);
+                            halls_are_news |= apply_hall_records(node, &[word], Source::Platform);
                         }
                     }
                 }
                 version = version.max(reached);
-                relay_operator(node, socket, node.config_row(), halls_are_news).await;
+                relay_operator_rows(node, socket, node.config_row(), halls_are_news).await;
                 if some && !link.is_reader() {
                     sleep(GATHER).await;
                 }
@@ -160,7 +162,7 @@
 }
 
 /// Takes in what the operator said of halls. Returns whether one is used differently from now on.
-pub fn note_halls(node: &ServingNode, words: &[HallWord], source: Source) -> bool {
+pub fn apply_hall_records(node: &ServingNode, words: &[HallWord], source: Source) -> bool {
     let now = node.now();
     let mut evacuations = node.evacuations.lock();
     let changed: Vec<&HallWord> = words.iter().filter(|word| evacuations.told(word, now)).collect();
--- a/trackfrontd/src/serving/follow/link.rs
+++ b/trackfrontd/src/serving/follow/feed_client.rs
@@ -10,7 +10,9 @@
 use trackfront_core::ports::TableError;
 use trackfront_core::units::Moment;
 
-use crate::serving::feed_relay::{FeedKind, HallPeers, fresh_for, hall_peers, successor_wait};
+use crate::serving::feed_relay::{
+    FeedKind, HallPeers, hall_peers, reader_timeout, successor_delay,
+};
 use crate::serving::node::ServingNode;
 use crate::serving::suspension::Suspension;
 
@@ -49,7 +51,7 @@
 const FAILURES_TO_REREAD: u32 = 3;
 
 /// The calls about one feed.
-pub struct Link {
+pub struct FeedClient {
     node: Arc<ServingNode>,
     kind: FeedKind,
     failures: u32,
@@ -57,10 +59,10 @@
     waking: Suspension,
 }
 
-impl Link {
+impl FeedClient {
     /// Makes one without failures.
     pub fn new(node: Arc<ServingNode>, kind: FeedKind) -> Self {
-        let waking = node.suspensions.follow();
+        let waking = node.suspensions.subscribe();
         Self { node, kind, failures: 0, failing_since: None, waking }
     }
 
@@ -121,7 +123,7 @@
     pub fn sources(&self, told_by: Option<Ipv4Addr>) -> Vec<Ipv4Addr> {
         let mut sources: Vec<Ipv4Addr> = told_by.into_iter().collect();
         let reader = hall_peers(&self.node).reader;
-        let speaker = self.node.peers.lock().some_speaker(&mut rand::rng());
+        let speaker = self.node.peers.lock().random_local_delegate(&mut rand::rng());
         for ip in reader.into_iter().chain(speaker) {
             if !sources.contains(&ip) {
                 sources.push(ip);
@@ -143,13 +145,13 @@
 
     /// Awaits a wait for changes; `None` if the machine was suspended: all has to be asked for anew.
     pub async fn unless_suspended<T>(&mut self, call: impl Future<Output = T>) -> Option<T> {
-        self.waking.unless(call).await
+        self.waking.unless_suspended(call).await
     }
 
     /// Returns whether the machine was suspended since it was last asked.
     pub fn woke(&mut self) -> bool {
-        let is_new = self.waking.is_new();
-        self.waking.take();
+        let is_new = self.waking.is_pending();
+        self.waking.acknowledge();
         is_new
     }
 
@@ -160,7 +162,7 @@
             let came = self.node.feed_update_received.notified();
             let mates = hall_peers(&self.node);
             let reads = self.must_read(&mates) && !self.node.is_discovering_peers();
-            if reads || is_enough() || self.waking.is_new() {
+            if reads || is_enough() || self.waking.is_pending() {
                 return;
             }
             // Looked at again in any case, so nothing is lost if no word comes.
@@ -169,7 +171,7 @@
     }
 
     fn must_read(&self, mates: &HallPeers) -> bool {
-        let wait = fresh_for(self.drain()) + successor_wait(mates.rank, self.drain());
+        let wait = reader_timeout(self.drain()) + successor_delay(mates.rank, self.drain());
         mates.is_reader() || self.silence().is_none_or(|silence| silence >= wait)
     }
 
@@ -193,7 +195,7 @@
         if hall_peers(&self.node).others.is_empty() {
             return FEED_WAIT;
         }
-        let left = fresh_for(self.drain()).saturating_sub(self.silence().unwrap_or_default());
+        let left = reader_timeout(self.drain()).saturating_sub(self.silence().unwrap_or_default());
         self.part_of_drain(READER_WAIT_PART).min(left.mul_f64(LEFT_PART)).max(LEAST_WAIT)
     }
 }
--- a/trackfrontd/src/serving/follow/mod.rs
+++ b/trackfrontd/src/serving/follow/mod.rs
@@ -6,8 +6,8 @@
 //! read again. An answer that is older than what is known changes nothing.
 
 mod config;
-mod link;
+mod feed_client;
 mod servers;
 
-pub use config::{follow_config, note_halls};
-pub use servers::{Source, end_lapses, follow_servers, note_events};
+pub use config::{apply_hall_records, follow_config};
+pub use servers::{Source, drop_expired_rows, follow_servers, handle_events};
--- a/trackfrontd/src/serving/follow/servers.rs
+++ b/trackfrontd/src/serving/follow/servers.rs
@@ -6,11 +6,11 @@
 use trackfront_core::ports::{Feed, Listing};
 use trackfront_core::serving::directory::{Basis, DirectoryEvent, ServerChange, ToldChanges};
 
-use super::link::{FIRST_PAUSE, Link};
+use super::feed_client::{FIRST_PAUSE, FeedClient};
 use crate::serving::boxes;
 use crate::serving::crashes;
 use crate::serving::exchange;
-use crate::serving::feed_relay::{CHANGES_AT_ONCE, FeedKind, relay_servers};
+use crate::serving::feed_relay::{FeedKind, MAX_CHANGES_PER_MESSAGE, relay_server_changes};
 use crate::serving::node::ServingNode;
 use crate::serving::peer_socket::PeerSocket;
 
@@ -20,14 +20,14 @@
 
 /// Follows the servers for as long as the box lives.
 pub async fn follow_servers(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
-    let mut link = Link::new(node.clone(), FeedKind::Servers);
-    boxes::wait_for_list(&node).await;
+    let mut link = FeedClient::new(node.clone(), FeedKind::Servers);
+    boxes::wait_for_box_list(&node).await;
     loop {
         if take_copy(&node, &link).await {
             follow_from(&node, &socket, &mut link).await;
             break;
         }
-        if !boxes::waits_for_copy(&node).await {
+        if !boxes::wait_for_snapshot(&node).await {
             break;
         }
     }
@@ -48,21 +48,21 @@
         let (from, found) = take_listing(&node, listing);
         let Some(Found { events, changes }) = found else {
             log::info!(version = to; "list of servers older than what is known");
-            relay_servers(&node, &socket, ToldChanges::nothing(from)).await;
+            relay_server_changes(&node, &socket, ToldChanges::nothing(from)).await;
             sleep(FIRST_PAUSE).await;
             continue;
         };
-        note_events(&node, events, to, Source::Platform);
+        handle_events(&node, events, to, Source::Platform);
         // Who knows something else hears that there is more, and asks for a copy.
-        let told = ToldChanges::of_listing(from, to, changes, CHANGES_AT_ONCE);
-        relay_servers(&node, &socket, told).await;
+        let told = ToldChanges::of_listing(from, to, changes, MAX_CHANGES_PER_MESSAGE);
+        relay_server_changes(&node, &socket, told).await;
         node.set_knows_servers();
         follow_from(&node, &socket, &mut link).await;
     }
 }
 
 /// Takes in what another box knows that this one does not. Returns whether there was something.
-async fn take_copy(node: &Arc<ServingNode>, link: &Link) -> bool {
+async fn take_copy(node: &Arc<ServingNode>, link: &FeedClient) -> bool {
     let known = node.directory.lock().newest();
     let told_by = node.feed_state.lock().take_gap();
     let mut sources = link.sources(told_by);
@@ -77,8 +77,8 @@
         // What came in between by relay is newer, or was passed over for the gap.
         directory.update(copy.update, copy.version, node.now())
     };
-    note_events(node, events, copy.version, Source::OtherBox);
-    node.feed_state.lock().note(FeedKind::Servers, node.now());
+    handle_events(node, events, copy.version, Source::OtherBox);
+    node.feed_state.lock().record(FeedKind::Servers, node.now());
     node.set_knows_servers();
     true
 }
@@ -110,7 +110,7 @@
 }
 
 /// Follows the feed until everything has to be read again.
-async fn follow_from(node: &Arc<ServingNode>, socket: &PeerSocket, link: &mut Link) {
+async fn follow_from(node: &Arc<ServingNode>, socket: &PeerSocket, link: &mut FeedClient) {
     while !link.must_reread() {
         link.wait_for_reader(|| node.feed_state.lock().has_gap()).await;
         if link.woke() {
@@ -130,9 +130,9 @@
                 link.works();
                 let some = !changes.is_empty();
                 let events = take_changes(node, changes.clone(), to);
-                note_events(node, events, to, Source::Platform);
+                handle_events(node, events, to, Source::Platform);
                 let told = ToldChanges { basis: Basis::Feed, from, to, changes };
-                relay_servers(node, socket, told).await;
+                relay_server_changes(node, socket, told).await;
                 if some {
                     sleep(link.part_of_drain(GATHER_PART)).await;
                 }
@@ -173,12 +173,12 @@
 }
 
 /// Takes servers away whose rows lapsed and did not come back in time.
-pub fn end_lapses(node: &ServingNode) {
+pub fn drop_expired_rows(node: &ServingNode) {
     let events = node.directory.lock().end_lapses(node.now());
     if !events.is_empty() {
         let version = node.directory.lock().newest();
         log::info!(servers = events.len(), version; "rows lapsed and did not come back");
-        note_events(node, events, version, Source::OtherBox);
+        handle_events(node, events, version, Source::OtherBox);
     }
 }
 
@@ -204,7 +204,12 @@
 /// Logs what has changed and lets the rest of the box know. A change of what a server says of itself has
 /// a line at the box that read it; at the others such changes are summed up, or lines would grow with
 /// boxes times changes.
-pub fn note_events(node: &ServingNode, events: Vec<DirectoryEvent>, version: u64, source: Source) {
+pub fn handle_events(
+    node: &ServingNode,
+    events: Vec<DirectoryEvent>,
+    version: u64,
+    source: Source,
+) {
     if events.is_empty() {
         return;
     }
--- a/trackfrontd/src/serving/gossip.rs
+++ b/trackfrontd/src/serving/gossip.rs
@@ -38,7 +38,7 @@
 const DECODE_LIMIT: usize = 64 * 1024;
 
 /// Tells the other nodes, again and again.
-pub async fn tell(
+pub async fn send_digests(
     node: Arc<ServingNode>,
     socket: Arc<PeerSocket>,
     gives_orders: Arc<HoldsOrderLease>,
@@ -55,24 +55,24 @@
         let gives = gives_orders.get();
         let (told, gap) = {
             let mut peers = node.peers.lock();
-            peers.elect(now);
+            peers.update_missing(now);
             let told = match urgent && gives {
-                true => peers.told_at_once(now),
-                false => peers.told(round, now),
+                true => peers.urgent_targets(now),
+                false => peers.digest_targets(round, now),
             };
-            let gap = peers.gap(told.len());
+            let gap = peers.digest_interval(told.len());
             (told, gap)
         };
         // A node that lacks something all the time is no less alive: others go by its digests.
         let is_due = Instant::now() >= digest_due;
         if gives || is_due {
-            let right = gives_orders.told_right(now);
+            let right = gives_orders.report(now);
             let digest = digest(&node, zone, gives, right);
             socket.send(&Message::Digest(digest), &told).await;
         }
         let lacks = node.missing_items.take();
         if !gives && (!lacks.is_empty() || (is_due && round.is_multiple_of(DEMAND_EVERY))) {
-            let giver = node.peers.lock().giver(now);
+            let giver = node.peers.lock().order_holder(now);
             let demand = Message::Demand(demand(&node, &lacks));
             socket.send(&demand, giver.as_slice()).await;
         }
@@ -108,12 +108,12 @@
 
     /// Notes when its right ends under the version of the lease's row that it wrote last. Others are
     /// told also after it lost the lease: they may take it the sooner.
-    pub fn say(&self, word: LeaseAnnouncement) {
+    pub fn announce(&self, word: LeaseAnnouncement) {
         *self.1.lock() = Some(word);
     }
 
     /// Returns until when it may give orders, as other boxes are told.
-    pub fn told_right(&self, now: Moment) -> Option<LeaseReport> {
+    pub fn report(&self, now: Moment) -> Option<LeaseReport> {
         LeaseReport::from_announcement((*self.1.lock())?, now)
     }
 }
@@ -134,7 +134,7 @@
     let strength = node.settings.load().resources.capacity();
     let giver = match gives_orders {
         true => None,
-        false => node.peers.lock().told_giver(node.now()),
+        false => node.peers.lock().holder_report(node.now()),
     };
     Digest {
         hall: zone,
@@ -174,7 +174,7 @@
 }
 
 /// Hears the other nodes.
-pub async fn hear(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
+pub async fn receive_messages(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM];
     let mut reported = Moment::default();
     loop {
@@ -195,15 +195,15 @@
             }
             Ok((Message::OverlayEntries(notes), _)) => take_notes(&node, &notes),
             Ok((Message::Demand(told), _)) => take_demand(&node, &socket, ip, &told),
-            Ok((Message::FeedUpdate(relay), _)) => relay::take_in(&node, ip, relay),
-            Ok((Message::PackedFeedUpdate(packed), _)) => relay::take_in_packed(&node, ip, &packed),
+            Ok((Message::FeedUpdate(relay), _)) => relay::apply_update(&node, ip, relay),
+            Ok((Message::PackedFeedUpdate(packed), _)) => relay::apply_packed(&node, ip, &packed),
             Ok((Message::PendingItems(coming), _)) => missing_items::apply_report(&node, &coming),
-            Ok((Message::BoxList(told), _)) => boxes::take_in(&node, &socket, told).await,
+            Ok((Message::BoxList(told), _)) => boxes::apply_update(&node, &socket, told).await,
             Ok((Message::ConfigVersionRequest(question), _)) => {
-                config_freshness::answer(&node, &socket, ip, question)
+                config_freshness::handle_request(&node, &socket, ip, question)
             }
             Ok((Message::ConfigVersionReply(told), _)) => {
-                config_freshness::take_in(&node, ip, told)
+                config_freshness::handle_reply(&node, ip, told)
             }
             Ok((Message::QuotaRequest(ask), _)) => quota::answer(&node, &socket, ip, &ask),
             Ok((Message::QuotaReply(answer), _)) => quota::handle_answer(&node, ip, &answer),
@@ -247,7 +247,7 @@
 
 fn take_in(node: &ServingNode, ip: Ipv4Addr, digest: Digest) {
     let now = node.now();
-    node.peers.lock().heard(ip, &digest, now);
+    node.peers.lock().record_digest(ip, &digest, now);
     let names = node.names.lock();
     let shares = digest
         .server_loads
@@ -276,9 +276,9 @@
 
 /// Passes on to this hall what the giver of orders did, if it told only the boxes that speak for their halls.
 async fn pass_on(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, notes: &[OverlayEntry]) {
-    if notes.is_empty() || !node.peers.lock().passes_on(ip) {
+    if notes.is_empty() || !node.peers.lock().forwards_from(ip) {
         return;
     }
-    let mates = node.peers.lock().mates(node.now());
+    let mates = node.peers.lock().reachable_in_hall(node.now());
     socket.send(&Message::OverlayEntries(notes.to_vec()), &mates).await;
 }
--- a/trackfrontd/src/serving/lease.rs
+++ b/trackfrontd/src/serving/lease.rs
@@ -122,7 +122,7 @@
             return true;
         }
         let now = self.node.now();
-        if self.node.is_stopping() || self.node.peers.lock().giver(now).is_some() {
+        if self.node.is_stopping() || self.node.peers.lock().order_holder(now).is_some() {
             self.vacant_since = None;
             self.observed = None;
             return false;
@@ -178,14 +178,14 @@
         if applied {
             // No order was sent after the fencing token was dropped, so the quiet period began
             // then.
-            self.holds_lease.say(LeaseAnnouncement { version, ends_at: dropped_at });
+            self.holds_lease.announce(LeaseAnnouncement { version, ends_at: dropped_at });
             self.node.digest_requested.notify_one();
         }
         log::info!(applied; "order lease released");
     }
 
     fn rank(&self, now: Moment) -> u32 {
-        let rank = self.node.peers.lock().rank(now);
+        let rank = self.node.peers.lock().lease_rank(now);
         u32::try_from(rank).unwrap_or(u32::MAX)
     }
 
@@ -228,7 +228,7 @@
     /// Returns the last announcement of the box that wrote the row as last read.
     fn holder_announcement(&self) -> Option<LeaseAnnouncement> {
         let version = self.observed.as_ref()?.version;
-        self.node.peers.lock().holders_word(version)
+        self.node.peers.lock().announcement(version)
     }
 
     async fn read_row(&mut self) -> Result<(), TableError> {
@@ -271,7 +271,7 @@
         self.machine.handle(&LeaseEvent::Written { fence, sent_at });
         let until = sent_at + (LEASE_TTL - LEASE_TTL / 5);
         self.order_fence.set(Some(ValidFence { fence, until }));
-        self.holds_lease.say(LeaseAnnouncement { version, ends_at: until });
+        self.holds_lease.announce(LeaseAnnouncement { version, ends_at: until });
         true
     }
 
--- a/trackfrontd/src/serving/listeners.rs
+++ b/trackfrontd/src/serving/listeners.rs
@@ -89,7 +89,7 @@
     let handler = move |request: Request<Incoming>| {
         let (method, path) = (request.method(), request.uri().path());
         let held_off = || crashes::operators::answer(&node, method, path);
-        let answer = exchange::answer(&node, path).or_else(held_off);
+        let answer = exchange::handle_request(&node, path).or_else(held_off);
         let answer = answer.unwrap_or_else(|| metrics_text(&node, &lines));
         async move { Ok(answer) }
     };
--- a/trackfrontd/src/serving/log_queue.rs
+++ b/trackfrontd/src/serving/log_queue.rs
@@ -43,7 +43,7 @@
     }
 
     /// Waits until what is queued is written, for `time` at most. Returns whether it is.
-    pub fn wait_written(&self, time: Duration) -> bool {
+    pub fn wait_until_written(&self, time: Duration) -> bool {
         let start = Instant::now();
         let queued = self.0.queued.load(Ordering::Acquire);
         while self.0.written.load(Ordering::Acquire) < queued {
--- a/trackfrontd/src/serving/messages.rs
+++ b/trackfrontd/src/serving/messages.rs
@@ -109,7 +109,7 @@
     /// How long the box would wait for the turn, in milliseconds.
     pub max_wait_ms: u32,
     /// Whether the first keeper did not answer.
-    pub is_stand_in: bool,
+    pub is_standby: bool,
 }
 
 /// The answer to a question for a turn.
--- a/trackfrontd/src/serving/node.rs
+++ b/trackfrontd/src/serving/node.rs
@@ -298,7 +298,7 @@
         self.config_row.fetch_max(row, Ordering::Relaxed);
         if in_force {
             self.config_row_in_force.fetch_max(row, Ordering::Relaxed);
-            self.config_freshness.in_force(row);
+            self.config_freshness.set_in_force(row);
         }
     }
 
--- a/trackfrontd/src/serving/notices/broadcast.rs
+++ b/trackfrontd/src/serving/notices/broadcast.rs
@@ -123,10 +123,10 @@
             let (cold, tracker) = (node.cold.lock(), node.notices.lock());
             due.iter().flat_map(|server| records_of(&tracker, &cold, server, now)).collect()
         };
-        let all = node.peers.lock().to_tell_all(now);
+        let all = node.peers.lock().broadcast_targets(now);
         for chunk in notices.chunks(NOTICES_PER_MESSAGE) {
-            send(&socket, chunk, false, &all.directly).await;
-            send(&socket, chunk, true, &all.to_hand_on).await;
+            send(&socket, chunk, false, &all.direct).await;
+            send(&socket, chunk, true, &all.forwarders).await;
         }
     }
 }
@@ -146,7 +146,7 @@
 ) {
     apply_notices(node, &batch.notices, &from.to_string());
     if batch.forward {
-        let part = node.peers.lock().own_part(node.now());
+        let part = node.peers.lock().forward_targets(node.now());
         send(socket, &batch.notices, false, &part).await;
     }
 }
@@ -195,7 +195,7 @@
 /// Loads the notices of other boxes when this one starts. If no other box answers, the servers'
 /// next answers bring them.
 pub async fn fetch_from_peers(node: Arc<ServingNode>) {
-    boxes::wait_for_list(&node).await;
+    boxes::wait_for_box_list(&node).await;
     for _ in 0..FETCH_ROUNDS {
         let others = boxes::likely_up(&node);
         // Notices refer to servers by short names, which this box can only resolve once it knows
--- a/trackfrontd/src/serving/peer_tracker.rs
+++ b/trackfrontd/src/serving/peer_tracker.rs
@@ -120,9 +120,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BroadcastTargets {
     /// Boxes that are told themselves.
-    pub directly: Vec<Ipv4Addr>,
+    pub direct: Vec<Ipv4Addr>,
     /// Boxes that hand it on to their part of their hall.
-    pub to_hand_on: Vec<Ipv4Addr>,
+    pub forwarders: Vec<Ipv4Addr>,
 }
 
 /// The other boxes.
@@ -140,13 +140,13 @@
     /// Makes the book of a box that knows no other.
     pub fn new(me: ListedBox) -> Self {
         let mut halls = Halls::default();
-        halls.put(me, None);
+        halls.insert(me, None);
         let (peers, elected_at) = (BTreeMap::new(), Moment::default());
         Self { me, peers, halls, elected_at, giver: KnownHolder::default() }
     }
 
     /// Learns of a box from a list. What a box says of itself goes before that.
-    pub fn list(&mut self, place: ListedBox, now: Moment) {
+    pub fn add_listed(&mut self, place: ListedBox, now: Moment) {
         let is_heard = self.peers.get(&place.ip).is_some_and(|peer| peer.heard.is_some());
         if place.ip != self.me.ip && !is_heard {
             self.put(place, now);
@@ -155,7 +155,7 @@
 
     fn put(&mut self, place: ListedBox, now: Moment) -> &mut Peer {
         let before = self.peers.get(&place.ip).map(|peer| peer.place);
-        self.halls.put(place, before);
+        self.halls.insert(place, before);
         let peer = self.peers.entry(place.ip).or_insert(Peer::new(place, now));
         peer.place = place;
         peer
@@ -175,7 +175,7 @@
     }
 
     /// Learns that a box is alive.
-    pub fn heard(&mut self, ip: Ipv4Addr, digest: &Digest, now: Moment) {
+    pub fn record_digest(&mut self, ip: Ipv4Addr, digest: &Digest, now: Moment) {
         let peer = self.put(ListedBox { ip, hall: digest.hall, capacity: digest.capacity }, now);
         peer.heard = Some(now);
         peer.is_missing = false;
@@ -188,12 +188,12 @@
     }
 
     /// Returns what this box tells others of who gives orders.
-    pub fn told_giver(&self, now: Moment) -> Option<HolderReport> {
+    pub fn holder_report(&self, now: Moment) -> Option<HolderReport> {
         self.giver.report(|ip| self.peers.get(&ip)?.word, now)
     }
 
     /// Looks anew who speaks for which hall. To be called once in a round, before the others are told.
-    pub fn elect(&mut self, now: Moment) {
+    pub fn update_missing(&mut self, now: Moment) {
         let was_away = now.since(self.elected_at) >= PEER_TIMEOUT;
         self.elected_at = now;
         if was_away {
@@ -232,12 +232,12 @@
     fn halls_that_speak(&self) -> impl Iterator<Item = u32> {
         let (own, speaks) = (self.me.hall, self.is_delegate());
         let is_large = !self.halls.is_small_fleet();
-        self.halls.names().filter(move |hall| is_large && (speaks || *hall == own))
+        self.halls.ids().filter(move |hall| is_large && (speaks || *hall == own))
     }
 
     /// Returns the delegates of a hall and those that would be in their place if they lived.
     fn would_speak(&self, hall: u32) -> impl Iterator<Item = &Ipv4Addr> {
-        let boxes = self.halls.of(hall);
+        let boxes = self.halls.boxes_in(hall);
         let last = self.delegates(hall).last().copied();
         let place = boxes.iter().position(|one| Some(one.ip) == last);
         // Of a hall that is missing as a whole the first box that comes back would.
@@ -251,7 +251,7 @@
 
     /// Returns the boxes that speak to those of this hall.
     fn speakers(&self) -> Vec<Ipv4Addr> {
-        self.halls.speakers(self.me.hall, |ip| self.is_missing(ip)).collect()
+        self.halls.local_delegates(self.me.hall, |ip| self.is_missing(ip)).collect()
     }
 
     fn delegates(&self, hall: u32) -> Vec<Ipv4Addr> {
@@ -259,12 +259,12 @@
     }
 
     /// Returns whether this box speaks to all of its hall.
-    pub fn is_speaker(&self) -> bool {
+    pub fn is_local_delegate(&self) -> bool {
         self.halls.is_small(self.me.hall) || self.speakers().contains(&self.me.ip)
     }
 
     /// Returns one of the boxes that speak for a large hall, to spread what all of it asks them; none of a small one.
-    pub fn some_speaker(&self, rng: &mut impl Rng) -> Option<Ipv4Addr> {
+    pub fn random_local_delegate(&self, rng: &mut impl Rng) -> Option<Ipv4Addr> {
         let is_small = self.halls.is_small(self.me.hall);
         let mut speakers = if is_small { Vec::new() } else { self.speakers() };
         speakers.retain(|ip| *ip != self.me.ip);
@@ -277,18 +277,18 @@
     }
 
     /// Returns the boxes that are told in a round.
-    pub fn told(&self, round: u64, now: Moment) -> Vec<Ipv4Addr> {
+    pub fn digest_targets(&self, round: u64, now: Moment) -> Vec<Ipv4Addr> {
         if self.halls.is_small_fleet() {
             return self.told_by_turns(round, now, |_| true);
         }
         let own = self.me.hall;
         let mut told = match self.halls.is_small(own) {
             true => self.told_by_turns(round, now, |peer| peer.place.hall == own),
-            false if self.is_speaker() => self.mates_and_some_lost(round, now),
+            false if self.is_local_delegate() => self.mates_and_some_lost(round, now),
             false => self.speakers(),
         };
         if self.is_delegate() {
-            let others = self.halls.names().filter(|hall| *hall != own);
+            let others = self.halls.ids().filter(|hall| *hall != own);
             told.extend(others.flat_map(|hall| self.delegates(hall)));
         }
         let retried = self.missing_in_turn(round).filter(|ip| !told.contains(ip));
@@ -304,7 +304,7 @@
             let turn = round + u64::from(ip.to_bits());
             sight.is_reachable(peer, now) || turn.is_multiple_of(LOST_EVERY)
         };
-        let mates = self.halls.of(self.me.hall).iter().map(|one| one.ip);
+        let mates = self.halls.boxes_in(self.me.hall).iter().map(|one| one.ip);
         mates.filter(|ip| self.peers.get(ip).is_some_and(|peer| is_due(ip, peer))).collect()
     }
 
@@ -338,9 +338,9 @@
     }
 
     /// Returns the time until the next round, after one in which so many were told.
-    pub fn gap(&self, told: usize) -> Duration {
-        let own = self.halls.of(self.me.hall).len() as u32;
-        match (self.halls.is_small(self.me.hall), self.is_speaker()) {
+    pub fn digest_interval(&self, told: usize) -> Duration {
+        let own = self.halls.boxes_in(self.me.hall).len() as u32;
+        match (self.halls.is_small(self.me.hall), self.is_local_delegate()) {
             (true, _) => MIN_DIGEST_INTERVAL.max(GAP_FOR_EACH_TOLD * told as u32),
             (false, true) => SPEAKER_GAP,
             (false, false) => SPEAKER_GAP.max(GAP_FOR_EACH_MATE * own),
@@ -348,28 +348,28 @@
     }
 
     /// Returns the boxes that the giver tells at once what it did: those that pass it on, where there are many.
-    pub fn told_at_once(&self, now: Moment) -> Vec<Ipv4Addr> {
+    pub fn urgent_targets(&self, now: Moment) -> Vec<Ipv4Addr> {
         if self.halls.is_small_fleet() {
             return self.reachable(now);
         }
-        let mut told = self.mates(now);
-        let others = self.halls.names().filter(|hall| *hall != self.me.hall);
+        let mut told = self.reachable_in_hall(now);
+        let others = self.halls.ids().filter(|hall| *hall != self.me.hall);
         told.extend(others.flat_map(|hall| self.delegates(hall)));
         told
     }
 
     /// Returns whether this box passes on to its hall what it hears from `ip`, so that it need not be told to all: it
     /// is the first that speaks for the hall.
-    pub fn passes_on(&self, ip: Ipv4Addr) -> bool {
+    pub fn forwards_from(&self, ip: Ipv4Addr) -> bool {
         let from = self.peers.get(&ip).map(|peer| peer.place.hall);
         let is_first = self.delegates(self.me.hall).first() == Some(&self.me.ip);
         !self.halls.is_small_fleet() && is_first && from != Some(self.me.hall)
     }
 
     /// Returns the other boxes of this hall, but for those that are lost for all that this box knows.
-    pub fn mates(&self, now: Moment) -> Vec<Ipv4Addr> {
+    pub fn reachable_in_hall(&self, now: Moment) -> Vec<Ipv4Addr> {
         let sight = self.sight();
-        let mates = self.halls.of(self.me.hall).iter().map(|one| one.ip);
+        let mates = self.halls.boxes_in(self.me.hall).iter().map(|one| one.ip);
         let is_reachable =
             |ip: &Ipv4Addr| self.peers.get(ip).is_some_and(|peer| sight.is_reachable(peer, now));
         mates.filter(is_reachable).collect()
@@ -381,19 +381,19 @@
         let is_small = self.halls.is_small(self.me.hall);
         let alive = |ip: &Ipv4Addr| self.peers.get(ip).is_some_and(|peer| peer.is_alive(now));
         let others = if is_small {
-            self.mates(now).into_iter().filter(alive).collect()
+            self.reachable_in_hall(now).into_iter().filter(alive).collect()
         } else {
-            self.mates(now)
+            self.reachable_in_hall(now)
         };
-        let me = (is_store_lost, self.me.place());
+        let me = (is_store_lost, self.me.priority_key());
         let place = |one: &ListedBox| {
             let store_lost = self.peers.get(&one.ip).is_some_and(|peer| peer.store_lost);
-            (store_lost, one.place())
+            (store_lost, one.priority_key())
         };
-        let boxes = self.halls.of(self.me.hall).iter();
+        let boxes = self.halls.boxes_in(self.me.hall).iter();
         let mut alive: Vec<&ListedBox> = boxes.filter(|one| alive(&one.ip)).collect();
         alive.sort_by_key(|one| place(one));
-        if self.is_speaker() {
+        if self.is_local_delegate() {
             let speakers = self.speakers();
             alive.retain(|one| is_small || speakers.contains(&one.ip));
             let rank = alive.iter().filter(|one| place(one) < me).count();
@@ -403,8 +403,10 @@
         // All that speak go first, alive or not yet found missing; of the rest each knows its place.
         let speakers = self.speakers();
         let reader = alive.iter().find(|one| speakers.contains(&one.ip)).map(|one| one.ip);
-        let before = self.halls.of(self.me.hall).iter().filter(|one| {
-            one.place() < self.me.place() && !speakers.contains(&one.ip) && !self.is_missing(one.ip)
+        let before = self.halls.boxes_in(self.me.hall).iter().filter(|one| {
+            one.priority_key() < self.me.priority_key()
+                && !speakers.contains(&one.ip)
+                && !self.is_missing(one.ip)
         });
         let rank = speakers.len() + before.count();
         HallPeers { others, rank, reader }
@@ -412,8 +414,9 @@
 
     /// Returns how many boxes go before this one in taking the lease on orders: those that are alive, of a large
     /// fleet only those that speak for a hall.
-    pub fn rank(&self, now: Moment) -> usize {
-        let is_before = |peer: &&Peer| peer.is_alive(now) && peer.place.place() < self.me.place();
+    pub fn lease_rank(&self, now: Moment) -> usize {
+        let is_before =
+            |peer: &&Peer| peer.is_alive(now) && peer.place.priority_key() < self.me.priority_key();
         let alive = self.peers.values().filter(is_before).count();
         match self.halls.is_small_fleet() || self.is_delegate() {
             true => alive,
@@ -423,7 +426,7 @@
 
     /// Returns what the box that wrote a version of the lease's row last said of its right. Each version was written by
     /// one box alone.
-    pub fn holders_word(&self, version: u64) -> Option<LeaseAnnouncement> {
+    pub fn announcement(&self, version: u64) -> Option<LeaseAnnouncement> {
         let words = self.peers.values().filter_map(|peer| peer.word);
         let words = words.chain(self.giver.relayed_announcement());
         words.into_iter().find(|word| word.version == version)
@@ -439,7 +442,7 @@
 
     fn sight(&self) -> Sight {
         let hears_all = self.halls.is_small_fleet();
-        let hears_hall = hears_all || self.is_speaker();
+        let hears_hall = hears_all || self.is_local_delegate();
         Sight { hears_all, hears_hall, hall: self.me.hall }
     }
 
@@ -449,35 +452,35 @@
     }
 
     /// Returns all boxes of which it is known where they stand, this one included.
-    pub fn listed(&self) -> Vec<ListedBox> {
+    pub fn listed_boxes(&self) -> Vec<ListedBox> {
         self.halls.all().collect()
     }
 
     /// Returns the boxes of this hall that this box hands a list of all on to: with the others that speak for the hall
     /// they are all.
-    pub fn own_part(&self, now: Moment) -> Vec<Ipv4Addr> {
+    pub fn forward_targets(&self, now: Moment) -> Vec<Ipv4Addr> {
         let delegates = self.delegates(self.me.hall);
         let Some(own) = delegates.iter().position(|ip| *ip == self.me.ip) else {
             return Vec::new();
         };
-        let mates = self.mates(now).into_iter().enumerate();
+        let mates = self.reachable_in_hall(now).into_iter().enumerate();
         let is_own = |(index, _): &(usize, Ipv4Addr)| index % delegates.len() == own;
         mates.filter(is_own).map(|(_, ip)| ip).collect()
     }
 
     /// Returns the boxes that hand a list of all boxes on to their halls.
-    pub fn first_of_halls(&self) -> Vec<Ipv4Addr> {
-        let first = self.halls.names().flat_map(|hall| self.delegates(hall));
+    pub fn other_delegates(&self) -> Vec<Ipv4Addr> {
+        let first = self.halls.ids().flat_map(|hall| self.delegates(hall));
         first.filter(|ip| *ip != self.me.ip).collect()
     }
 
     /// Returns whom this box tells what all boxes are to know: in a large fleet the boxes that hand it on to their halls,
     /// and its own part of its hall if it is one of these.
-    pub fn to_tell_all(&self, now: Moment) -> BroadcastTargets {
+    pub fn broadcast_targets(&self, now: Moment) -> BroadcastTargets {
         if self.halls.is_small_fleet() {
-            return BroadcastTargets { directly: self.reachable(now), to_hand_on: Vec::new() };
+            return BroadcastTargets { direct: self.reachable(now), forwarders: Vec::new() };
         }
-        BroadcastTargets { directly: self.own_part(now), to_hand_on: self.first_of_halls() }
+        BroadcastTargets { direct: self.forward_targets(now), forwarders: self.other_delegates() }
     }
 
     /// Returns whether each box tells each.
@@ -486,7 +489,7 @@
     }
 
     /// Returns how many boxes share budgets, this one included.
-    pub fn sharing(&self, now: Moment) -> usize {
+    pub fn budget_box_count(&self, now: Moment) -> usize {
         let is_small_fleet = self.halls.is_small_fleet();
         let counted = self
             .peers
@@ -501,7 +504,7 @@
     }
 
     /// Returns the box that says that it gives orders.
-    pub fn giver(&self, now: Moment) -> Option<Ipv4Addr> {
+    pub fn order_holder(&self, now: Moment) -> Option<Ipv4Addr> {
         self.giver.live_holder(now)
     }
 }
--- a/trackfrontd/src/serving/permits.rs
+++ b/trackfrontd/src/serving/permits.rs
@@ -111,7 +111,7 @@
         server: short_name,
         per_s,
         max_wait_ms: u32::try_from(max_wait.as_millis()).unwrap_or(u32::MAX),
-        is_stand_in: coordinator.is_standby,
+        is_standby: coordinator.is_standby,
     };
     let me = node.settings.load().node.ip;
     let answer = match coordinator.id == box_id(me) {
@@ -128,7 +128,7 @@
         None => {
             node.permits.gates.lock().mark_unresponsive(coordinator.id, now);
             let coordinator = Ipv4Addr::from_bits(coordinator.id.0);
-            log::info!(server:%, keeper:% = coordinator, is_stand_in = request.is_stand_in; "no reply to a permit request");
+            log::info!(server:%, keeper:% = coordinator, is_stand_in = request.is_standby; "no reply to a permit request");
             None
         }
     }
@@ -196,9 +196,9 @@
     let known = server.and_then(|server| node.notices.lock().limit_per_s(&server));
     let (reached, all) = {
         let peers = node.peers.lock();
-        (peers.reachable(now).len() + 1, peers.sharing(now))
+        (peers.reachable(now).len() + 1, peers.budget_box_count(now))
     };
-    let per_s = coordinator_rate(known.unwrap_or(request.per_s), reached, all, request.is_stand_in);
+    let per_s = coordinator_rate(known.unwrap_or(request.per_s), reached, all, request.is_standby);
     let max_wait = Duration::from_millis(u64::from(request.max_wait_ms));
     node.permits.issuer.lock().request(request.server, per_s, max_wait, now)
 }
--- a/trackfrontd/src/serving/pipeline/choice.rs
+++ b/trackfrontd/src/serving/pipeline/choice.rs
@@ -29,7 +29,7 @@
         heed_gates: bool,
     ) -> Result<Choice, NoChoice> {
         let node = &self.node;
-        follow::end_lapses(node);
+        follow::drop_expired_rows(node);
         let settings = node.settings.load();
         let evacuations = node.evacuations.lock();
         let query = Query {
--- a/trackfrontd/src/serving/pipeline/mod.rs
+++ b/trackfrontd/src/serving/pipeline/mod.rs
@@ -345,7 +345,7 @@
     /// Takes a retry from the budget that all boxes share. Returns whether one was left.
     pub fn take_retry(&self) -> bool {
         let now = self.node.now();
-        let nodes = self.node.peers.lock().sharing(now);
+        let nodes = self.node.peers.lock().budget_box_count(now);
         self.node.retry_budgets.lock().try_take(&self.service, nodes, now)
     }
 
--- a/trackfrontd/src/serving/quota.rs
+++ b/trackfrontd/src/serving/quota.rs
@@ -52,7 +52,7 @@
 fn set_boxes(node: &ServingNode, now: Moment) {
     let peers = node.peers.lock();
     let others: Vec<BoxId> = peers.reachable(now).iter().map(|ip| box_id(*ip)).collect();
-    let sharing = node.are_boxes_listed().then(|| peers.sharing(now));
+    let sharing = node.are_boxes_listed().then(|| peers.budget_box_count(now));
     drop(peers);
     node.quotas.set_boxes(&others, sharing);
 }
--- a/trackfrontd/src/serving/run.rs
+++ b/trackfrontd/src/serving/run.rs
@@ -25,7 +25,7 @@
 };
 
 /// How long a call to the platform's store may take beyond the time that it asks the store to wait.
-pub const STORE_CALL_TIME: Duration = Duration::from_millis(900);
+pub const STORE_CALL_MARGIN: Duration = Duration::from_millis(900);
 
 /// How often the settings file is looked at: it may change without a signal.
 const SETTINGS_EVERY: Duration = Duration::from_millis(2_000);
@@ -73,8 +73,8 @@
     let mut tasks = JoinSet::new();
     tasks.spawn(follow::follow_config(node.clone(), socket.clone()));
     tasks.spawn(follow::follow_servers(node.clone(), socket.clone()));
-    tasks.spawn(gossip::tell(node.clone(), socket.clone(), giving.clone()));
-    tasks.spawn(boxes::list_boxes(node.clone(), socket.clone()));
+    tasks.spawn(gossip::send_digests(node.clone(), socket.clone(), giving.clone()));
+    tasks.spawn(boxes::maintain_box_list(node.clone(), socket.clone()));
     tasks.spawn(missing_items::notify_requesters(node.clone(), socket.clone()));
     tasks.spawn(config_freshness::track_config_freshness(node.clone(), socket.clone()));
     tasks.spawn(cold::maintain_senders(node.clone()));
@@ -84,7 +84,7 @@
     tasks.spawn(notices::fetch_from_peers(node.clone()));
     tasks.spawn(notices::broadcast(node.clone(), socket.clone()));
     tasks.spawn(permits::send_requests(node.clone(), socket.clone()));
-    tasks.spawn(gossip::hear(node.clone(), socket));
+    tasks.spawn(gossip::receive_messages(node.clone(), socket));
     tasks.spawn(sweep(node.clone()));
     tasks.spawn(suspension::watch(node.clone()));
     tasks.spawn(reload(node.clone(), path, hangup));
@@ -161,7 +161,7 @@
         before = Instant::now();
         let now = node.now();
         node.pool.close_idle(MAX_IDLE);
-        follow::end_lapses(&node);
+        follow::drop_expired_rows(&node);
         node.loads.lock().forget_old(now);
         node.overlay.lock().forget_old(now);
         notices::sweep(&node, now);
--- a/trackfrontd/src/serving/suspension.rs
+++ b/trackfrontd/src/serving/suspension.rs
@@ -27,7 +27,7 @@
 
 impl Suspensions {
     /// Returns what tells of each waking from now on.
-    pub fn follow(&self) -> Suspension {
+    pub fn subscribe(&self) -> Suspension {
         Suspension(self.0.subscribe())
     }
 
@@ -42,18 +42,18 @@
 
 impl Suspension {
     /// Returns whether the machine woke since this was last told.
-    pub fn is_new(&self) -> bool {
+    pub fn is_pending(&self) -> bool {
         // The sender lives as long as the box.
         self.0.has_changed().unwrap_or(false)
     }
 
     /// Takes note of all wakings so far.
-    pub fn take(&mut self) {
+    pub fn acknowledge(&mut self) {
         self.0.borrow_and_update();
     }
 
     /// Awaits `call`; `None` if the machine was suspended, when the call is given up and to be made anew.
-    pub async fn unless<T>(&mut self, call: impl Future<Output = T>) -> Option<T> {
+    pub async fn unless_suspended<T>(&mut self, call: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             outcome = call => Some(outcome),
             _ = self.0.changed() => None,
--- a/trackfrontd/tests/fleet.rs
+++ b/trackfrontd/tests/fleet.rs
@@ -74,7 +74,7 @@
         let places: Vec<ListedBox> = (0..boxes).map(|index| listed(index, kind)).collect();
         let book = |me: &ListedBox| {
             let mut book = PeerTracker::new(*me);
-            places.iter().for_each(|other| book.list(*other, at(0)));
+            places.iter().for_each(|other| book.add_listed(*other, at(0)));
             book
         };
         let count = boxes as usize;
@@ -109,12 +109,12 @@
                 continue;
             }
             let (book, place) = (&mut self.books[index], self.places[index]);
-            book.elect(now);
-            let told = book.told(self.rounds[index], now);
+            book.update_missing(now);
+            let told = book.digest_targets(self.rounds[index], now);
             self.rounds[index] += 1;
-            self.due_ms[index] = self.now_ms + book.gap(told.len()).as_millis() as u64;
+            self.due_ms[index] = self.now_ms + book.digest_interval(told.len()).as_millis() as u64;
             let gives_orders = self.giver == Some(index);
-            let giver = if gives_orders { None } else { book.told_giver(now) };
+            let giver = if gives_orders { None } else { book.holder_report(now) };
             let (zone, strength) = (place.hall, place.capacity);
             let digest = Digest {
                 hall: zone,
@@ -133,7 +133,7 @@
                 let is_lost = self.rng.random_range(0..100) < self.lost_percent;
                 if !self.down[other] && !is_lost {
                     self.bytes[other] += length;
-                    self.books[other].heard(place.ip, &digest, now);
+                    self.books[other].record_digest(place.ip, &digest, now);
                 }
             }
         }
@@ -244,7 +244,7 @@
         let giver = fleet.giver.expect("set");
         let giver_ip = fleet.places[giver].ip;
         let knows = |fleet: &Fleet, index: usize| {
-            fleet.books[index].giver(at(fleet.now_ms)) == Some(giver_ip)
+            fleet.books[index].order_holder(at(fleet.now_ms)) == Some(giver_ip)
         };
         let all_know = |fleet: &Fleet| fleet.up().all(|one| one == giver || knows(fleet, one));
         let took = fleet.until("all know the giver", all_know);
@@ -260,7 +260,7 @@
         assert!(took <= 3_500, "known after {took} ms");
         // One after the other takes the lease, not all at once.
         let mut ranks: Vec<usize> =
-            fleet.up().map(|one| fleet.books[one].rank(at(fleet.now_ms))).collect();
+            fleet.up().map(|one| fleet.books[one].lease_rank(at(fleet.now_ms))).collect();
         ranks.sort_unstable();
         assert!(ranks[0] == 0 && ranks[4] > 0, "{:?}", &ranks[..8]);
     }
@@ -277,7 +277,7 @@
     let giver_ip = fleet.places[giver].ip;
     let took = fleet.until("all know the giver", |fleet| {
         let now = at(fleet.now_ms);
-        fleet.up().all(|one| one == giver || fleet.books[one].giver(now) == Some(giver_ip))
+        fleet.up().all(|one| one == giver || fleet.books[one].order_holder(now) == Some(giver_ip))
     });
     assert!(took <= 5_000, "known after {took} ms");
 }
@@ -290,7 +290,7 @@
         let mut fleet = Fleet::new(boxes, kind);
         fleet.run(3_000);
         // The first boxes of each hall are gone for a while; the next ones speak in their place.
-        let first = |fleet: &Fleet, one: usize| fleet.books[one].rank(at(fleet.now_ms)) < 15;
+        let first = |fleet: &Fleet, one: usize| fleet.books[one].lease_rank(at(fleet.now_ms)) < 15;
         let gone: Vec<usize> = fleet.up().filter(|one| first(&fleet, *one)).collect();
         gone.iter().for_each(|one| fleet.down[*one] = true);
         fleet.run(5_000);
@@ -337,11 +337,11 @@
         let index_of: HashMap<Ipv4Addr, usize> =
             fleet.places.iter().enumerate().map(|(index, place)| (place.ip, index)).collect();
         for teller in [0, 7, 13, boxes as usize / 2, boxes as usize - 1] {
-            let all = fleet.books[teller].to_tell_all(now);
+            let all = fleet.books[teller].broadcast_targets(now);
             let handed =
-                all.to_hand_on.iter().flat_map(|ip| fleet.books[index_of[ip]].own_part(now));
+                all.forwarders.iter().flat_map(|ip| fleet.books[index_of[ip]].forward_targets(now));
             let told: BTreeSet<Ipv4Addr> =
-                all.directly.iter().chain(&all.to_hand_on).copied().chain(handed).collect();
+                all.direct.iter().chain(&all.forwarders).copied().chain(handed).collect();
             let missed = fleet.places.iter().filter(|place| !told.contains(&place.ip));
             let missed: Vec<Ipv4Addr> = missed.map(|place| place.ip).collect();
             let own = fleet.places[teller].ip;
@@ -349,10 +349,10 @@
                 missed.iter().all(|ip| *ip == own),
                 "{boxes} boxes, told by {teller}: {missed:?}"
             );
-            let sent = all.directly.len() + all.to_hand_on.len();
+            let sent = all.direct.len() + all.forwarders.len();
             println!(
                 "{boxes} boxes: {sent} datagrams by {teller}, {} between halls",
-                all.to_hand_on.len()
+                all.forwarders.len()
             );
             assert!(sent <= 128, "{boxes} boxes: {sent} datagrams by {teller}");
         }
--- a/trackfrontd/tests/log_end.rs
+++ b/trackfrontd/tests/log_end.rs
@@ -30,11 +30,11 @@
     let lines = log_queue::start("n", log::LevelFilter::Info, output.clone()).expect("first");
     log::info!("stopping");
     log::info!("stopped");
-    assert!(lines.wait_written(Duration::from_secs(5)));
+    assert!(lines.wait_until_written(Duration::from_secs(5)));
     let text = String::from_utf8(output.0.lock().expect("no panic").clone()).expect("text");
     assert!(text.contains("\"event\":\"stopped\""), "{text}");
     log::info!("more");
     let start = Instant::now();
-    assert!(!lines.wait_written(Duration::from_millis(20)), "its write takes 500 ms");
+    assert!(!lines.wait_until_written(Duration::from_millis(20)), "its write takes 500 ms");
     assert!(start.elapsed() < Duration::from_millis(450), "{:?}", start.elapsed());
 }
--- a/trackfrontd/tests/peer_tracker.rs
+++ b/trackfrontd/tests/peer_tracker.rs
@@ -19,10 +19,10 @@
     let ip = |last| Ipv4Addr::new(10, 0, 0, last);
     let place = |last, hall| ListedBox { ip: ip(last), hall, capacity: CapacityClass::default() };
     let mut book = PeerTracker::new(place(9, OWN_HALL));
-    (1..=3).for_each(|last| book.list(place(last, OWN_HALL), now));
-    (4..=5).for_each(|last| book.list(place(last, OTHER_HALL), now));
-    book.heard(ip(3), &Digest { hall: OWN_HALL, ..Digest::default() }, now);
-    book.heard(ip(5), &Digest { hall: OTHER_HALL, ..Digest::default() }, now);
+    (1..=3).for_each(|last| book.add_listed(place(last, OWN_HALL), now));
+    (4..=5).for_each(|last| book.add_listed(place(last, OTHER_HALL), now));
+    book.record_digest(ip(3), &Digest { hall: OWN_HALL, ..Digest::default() }, now);
+    book.record_digest(ip(5), &Digest { hall: OTHER_HALL, ..Digest::default() }, now);
     let order = book.likely_up(now);
     assert_eq!(order, [ip(3), ip(1), ip(2), ip(5), ip(4)]);
 }
--- a/trackfrontd/tests/serving.rs
+++ b/trackfrontd/tests/serving.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use trackfrontd::serving::feed_relay::{fresh_for, successor_wait};
+use trackfrontd::serving::feed_relay::{reader_timeout, successor_delay};
 use trackfrontd::serving::log_queue;
 use trackfrontd::serving::settings::ServingSettings;
 
@@ -111,8 +111,8 @@
 #[test]
 fn eight_boxes_of_a_hall_read_within_the_promised_time() {
     let drain = Duration::from_millis(4_000);
-    let reads_after = |rank| fresh_for(drain) + successor_wait(rank, drain);
-    assert_eq!(reads_after(1), fresh_for(drain), "the first successor does not wait longer");
+    let reads_after = |rank| reader_timeout(drain) + successor_delay(rank, drain);
+    assert_eq!(reads_after(1), reader_timeout(drain), "the first successor does not wait longer");
     let waits: Vec<_> = (1..=8).map(reads_after).collect();
     assert!(waits.is_sorted(), "{waits:?}");
     assert!(waits[7] <= drain.mul_f64(0.85) + Duration::from_millis(1), "{waits:?}");
