--- a/trackfront_bench/src/serving_list.rs
+++ b/trackfront_bench/src/serving_list.rs
@@ -57,7 +57,7 @@
 }
 
 fn gone(number: usize, version: u64) -> ServerChange {
-    ServerChange::Gone { version, key: format!("server-{number:05}").as_str().into() }
+    ServerChange::Removed { version, key: format!("server-{number:05}").as_str().into() }
 }
 
 fn change(number: usize, version: u64) -> ServerChange {
@@ -67,10 +67,10 @@
         started: Some(1),
         service: "text".into(),
         address: format!("10.{}.{}.1:8000", number / 250, number % 250),
-        zone: "hall".into(),
+        hall: "hall".into(),
         slots: 16,
         state: ServerState::Ready,
-        cold_for: Duration::ZERO,
+        cold_remaining: Duration::ZERO,
         models: BTreeMap::new(),
         sequence: version,
         in_memory: BTreeSet::new(),
--- a/trackfront_core/src/serving/choice.rs
+++ b/trackfront_core/src/serving/choice.rs
@@ -182,7 +182,7 @@
         if loads.is_replaced(id) || !takes_requests(server, leaving, query) {
             continue;
         }
-        if !query.places.allow(&server.entry.zone) {
+        if !query.places.allow(&server.entry.hall) {
             reason = closer_reason(reason, NoChoice::NotAllowed);
             continue;
         }
@@ -316,7 +316,7 @@
         // What the server itself says of its machine is no chance.
         cost += load.mean_call_ms() * (pace - 1.0);
     }
-    if server.entry.zone != *query.hall {
+    if server.entry.hall != *query.hall {
         cost += OTHER_ZONE_MS;
     }
     if !view.is_connected(&server.entry.address) {
--- a/trackfront_core/src/serving/directory/change.rs
+++ b/trackfront_core/src/serving/directory/change.rs
@@ -16,7 +16,7 @@
         entry: ServerEntry,
     },
     /// The row is gone.
-    Gone {
+    Removed {
         /// The version at which it went.
         version: u64,
         /// The key of the row.
@@ -39,7 +39,7 @@
     pub fn key(&self) -> &ServerKey {
         match self {
             ServerChange::Set { entry, .. } => &entry.key,
-            ServerChange::Gone { key, .. } | ServerChange::Unusable { key, .. } => key,
+            ServerChange::Removed { key, .. } | ServerChange::Unusable { key, .. } => key,
         }
     }
 
@@ -47,7 +47,7 @@
     pub fn version(&self) -> u64 {
         match self {
             ServerChange::Set { version, .. }
-            | ServerChange::Gone { version, .. }
+            | ServerChange::Removed { version, .. }
             | ServerChange::Unusable { version, .. } => *version,
         }
     }
@@ -55,11 +55,11 @@
 
 /// What one directory hands to another that knows the servers up to an earlier version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Update {
+pub enum DirectoryUpdate {
     /// All changes after that version.
     Changes(Vec<ServerChange>),
     /// All servers, with the versions of their rows, since not all changes after that version are known.
-    Whole(Vec<(u64, ServerEntry)>),
+    Full(Vec<(u64, ServerEntry)>),
 }
 
 /// What a change did to the directory.
@@ -89,7 +89,7 @@
 
 /// How one came to know changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Basis {
+pub enum ChangeOrigin {
     /// By following each: they are all that has changed.
     Feed,
     /// By a listing: they are what differs. What came and went in between is not among them, so they mean something
@@ -99,9 +99,9 @@
 
 /// Changes after one version up to another, as one box tells them to others.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ToldChanges {
+pub struct ReceivedChanges {
     /// How they are known.
-    pub basis: Basis,
+    pub origin: ChangeOrigin,
     /// The version after which they begin.
     pub from: u64,
     /// The version up to which they reach.
@@ -110,28 +110,28 @@
     pub changes: Vec<ServerChange>,
 }
 
-impl ToldChanges {
+impl ReceivedChanges {
     /// Returns the word that there is nothing newer than a version, or that there is, to whoever knows less.
-    pub fn nothing(version: u64) -> Self {
-        Self { basis: Basis::Feed, from: version, to: version, changes: Vec::new() }
+    pub fn empty(version: u64) -> Self {
+        Self { origin: ChangeOrigin::Feed, from: version, to: version, changes: Vec::new() }
     }
 
     /// Returns what may be told of changes that a listing brought: all in one message, or only that there are some.
     /// One that began with the listing knows of no changes.
-    pub fn of_listing(from: u64, to: u64, changes: Vec<ServerChange>, at_once: usize) -> Self {
+    pub fn from_listing(from: u64, to: u64, changes: Vec<ServerChange>, at_once: usize) -> Self {
         match from > 0 && changes.len() < at_once {
-            true => Self { basis: Basis::Listing, from, to, changes },
-            false => Self::nothing(to),
+            true => Self { origin: ChangeOrigin::Listing, from, to, changes },
+            false => Self::empty(to),
         }
     }
 
     /// Splits all changes into messages of `at_once` changes or a few more, of which each begins where the one before ends. What has
     /// one version stays together: whoever takes a message knows all up to the version where it ends, and one that
     /// comes later shows that it was lost.
-    pub fn messages(self, at_once: usize) -> Vec<ToldChanges> {
-        let ToldChanges { basis, from, to, mut changes } = self;
-        if basis == Basis::Listing {
-            return vec![ToldChanges { basis, from, to, changes }];
+    pub fn into_messages(self, at_once: usize) -> Vec<ReceivedChanges> {
+        let ReceivedChanges { origin, from, to, mut changes } = self;
+        if origin == ChangeOrigin::Listing {
+            return vec![ReceivedChanges { origin, from, to, changes }];
         }
         changes.sort_by_key(ServerChange::version);
         let mut messages = Vec::new();
@@ -140,7 +140,7 @@
             let rest = split_off_rest(&mut changes, at_once);
             let last = changes.last().map_or(to, ServerChange::version);
             let end = if rest.is_empty() { to } else { last.clamp(begin, to) };
-            messages.push(ToldChanges { basis, from: begin, to: end, changes });
+            messages.push(ReceivedChanges { origin, from: begin, to: end, changes });
             if rest.is_empty() {
                 return messages;
             }
--- a/trackfront_core/src/serving/directory/entry.rs
+++ b/trackfront_core/src/serving/directory/entry.rs
@@ -46,14 +46,14 @@
     pub service: ServiceName,
     /// The address, IP and port.
     pub address: String,
-    /// The zone.
-    pub zone: HallName,
+    /// The hall that the server runs in.
+    pub hall: HallName,
     /// How many requests it works on at once.
     pub slots: u32,
     /// Whether it takes requests.
     pub state: ServerState,
     /// How much longer it was cold when it wrote this.
-    pub cold_for: Duration,
+    pub cold_remaining: Duration,
     /// The models that it holds.
     pub models: Residents,
     /// How many orders it has taken.
@@ -72,9 +72,9 @@
     /// The version of its row.
     pub version: u64,
     /// When the node learned this version.
-    pub learned: Moment,
+    pub learned_at: Moment,
     /// When the node learned of the server; the start of time for one that had left and came back.
-    pub first_learned: Moment,
+    pub first_learned_at: Moment,
     /// When the node learned that it drains.
     pub draining_since: Option<Moment>,
     /// Since when it may drain: when the list without that was last known to be the newest.
@@ -87,7 +87,7 @@
 
 impl ServerEntry {
     /// Returns whether an earlier run wrote this.
-    pub fn is_earlier_run(&self, other: Option<u64>) -> bool {
+    pub fn is_from_earlier_incarnation(&self, other: Option<u64>) -> bool {
         self.started.zip(other).is_some_and(|(own, other)| own < other)
     }
 }
@@ -104,8 +104,8 @@
     /// Returns until when it is cold by its own row. The row may have been on its way for a while, so it is so no
     /// longer than that.
     pub fn cold_until(&self) -> Option<Moment> {
-        let cold_for = self.entry.cold_for;
-        (!cold_for.is_zero()).then(|| self.learned + cold_for)
+        let cold_remaining = self.entry.cold_remaining;
+        (!cold_remaining.is_zero()).then(|| self.learned_at + cold_remaining)
     }
 
     /// Returns whether it takes new requests.
--- a/trackfront_core/src/serving/directory/listing.rs
+++ b/trackfront_core/src/serving/directory/index.rs
@@ -17,14 +17,14 @@
 /// that was learned of last, as the row of one that crashed stays for a while. Versions do not tell, as what a server
 /// wrote may arrive after its end.
 #[derive(Debug, Default)]
-pub struct ServerListing {
+pub struct ServerIndex {
     by_service: HashMap<ServiceName, Sorted>,
     by_model: HashMap<ModelName, Sorted>,
     /// All servers at each address.
     at_address: HashMap<String, Vec<Arc<KnownServer>>>,
 }
 
-impl ServerListing {
+impl ServerIndex {
     /// Returns the servers of a service.
     pub fn of_service(&self, service: &ServiceName) -> &[Arc<KnownServer>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
@@ -89,8 +89,9 @@
 
 /// Returns the servers at one address that may be chosen.
 fn chosen(servers: &[Arc<KnownServer>]) -> impl Iterator<Item = &Arc<KnownServer>> {
-    let last = servers.iter().map(|known| known.first_learned).max().unwrap_or(Moment::default());
-    servers.iter().filter(move |known| known.first_learned >= last)
+    let last =
+        servers.iter().map(|known| known.first_learned_at).max().unwrap_or(Moment::default());
+    servers.iter().filter(move |known| known.first_learned_at >= last)
 }
 
 fn insert(servers: &mut Sorted, known: &Arc<KnownServer>) {
--- a/trackfront_core/src/serving/directory/mod.rs
+++ b/trackfront_core/src/serving/directory/mod.rs
@@ -10,16 +10,16 @@
 
 mod change;
 mod entry;
-mod listing;
+mod index;
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
 
-pub use change::{Basis, DirectoryEvent, ServerChange, ToldChanges, Update};
+pub use change::{ChangeOrigin, DirectoryEvent, DirectoryUpdate, ReceivedChanges, ServerChange};
 pub use entry::{KnownServer, ResidentModel, Residents, ServerEntry, ServerState};
 
-use listing::ServerListing;
+use index::ServerIndex;
 
 use crate::ids::{BackendId, ModelName, ServerKey, ServiceName};
 use crate::units::Moment;
@@ -51,11 +51,11 @@
     /// The run under each key.
     runs: HashMap<ServerKey, BackendId>,
     /// The servers that may be chosen.
-    listing: ServerListing,
+    index: ServerIndex,
     /// Servers that left.
     gone: HashMap<ServerKey, GoneServer>,
     /// The newest version that any answer named.
-    newest: u64,
+    newest_version: u64,
     /// The version after which all changes are known.
     complete_after: u64,
     /// When the list was last known to be the newest.
@@ -88,9 +88,9 @@
             heartbeat,
             servers: HashMap::new(),
             runs: HashMap::new(),
-            listing: ServerListing::default(),
+            index: ServerIndex::default(),
             gone: HashMap::new(),
-            newest: 0,
+            newest_version: 0,
             complete_after: 0,
             heard_at: Moment::default(),
             found_at: None,
@@ -100,12 +100,12 @@
     }
 
     /// Returns the newest version that any answer named.
-    pub fn newest(&self) -> u64 {
-        self.newest
+    pub fn newest_version(&self) -> u64 {
+        self.newest_version
     }
 
     /// Notes that the list is the newest, by an answer of the platform or the word of one that had it.
-    pub fn heard(&mut self, now: Moment) {
+    pub fn confirm_current(&mut self, now: Moment) {
         self.heard_at = self.heard_at.max(now);
     }
 
@@ -116,12 +116,12 @@
 
     /// Returns the servers of a service, in the order of their identifiers.
     pub fn of_service(&self, service: &ServiceName) -> &[Arc<KnownServer>] {
-        self.listing.of_service(service)
+        self.index.of_service(service)
     }
 
     /// Returns the servers whose rows say that they hold a model, in the order of their identifiers.
     pub fn holding(&self, model: &ModelName) -> &[Arc<KnownServer>] {
-        self.listing.holding(model)
+        self.index.holding(model)
     }
 
     /// Returns all servers.
@@ -131,13 +131,13 @@
 
     /// Returns whether the list may still lack servers that hold models: at the system's start, and
     /// while rows that lapsed come back. What no listed server holds is not missing then.
-    pub fn is_filling(&self, now: Moment) -> bool {
+    pub fn may_be_incomplete(&self, now: Moment) -> bool {
         self.found_at.is_some_and(|at| now.since(at) < self.heartbeat * FILLING_HEARTBEATS)
     }
 
     /// Notes that the platform answers again after it failed this node for a while. After an outage
     /// a ready server whose row went is kept for some time: if it lives, its row comes back.
-    pub fn platform_came_back(&mut self, away: Duration, now: Moment) {
+    pub fn platform_recovered(&mut self, away: Duration, now: Moment) {
         if away >= self.heartbeat * OUTAGE_HEARTBEATS {
             self.lapse_until = self.lapse_until.max(now + LAPSE_FOR);
         }
@@ -145,24 +145,19 @@
 
     /// Notes that a reader says for how long rows may still have lapsed. `failed_at` is when the
     /// platform last failed this node itself.
-    pub fn reader_expects_lapses(
-        &mut self,
-        left: Duration,
-        failed_at: Option<Moment>,
-        now: Moment,
-    ) {
+    pub fn extend_expiry_grace(&mut self, left: Duration, failed_at: Option<Moment>, now: Moment) {
         if failed_at.is_some_and(|at| now.since(at) < SAME_OUTAGE) {
             self.lapse_until = self.lapse_until.max(now + left.min(LAPSE_FOR));
         }
     }
 
     /// Returns how long rows that go may still have lapsed.
-    pub fn lapses_for(&self, now: Moment) -> Duration {
+    pub fn remaining_expiry_grace(&self, now: Moment) -> Duration {
         self.lapse_until.since(now)
     }
 
     /// Takes those away whose rows lapsed and did not come back in time.
-    pub fn end_lapses(&mut self, now: Moment) -> Vec<DirectoryEvent> {
+    pub fn drop_expired_rows(&mut self, now: Moment) -> Vec<DirectoryEvent> {
         if self.lapsed.is_empty() || now < self.lapse_until {
             return Vec::new();
         }
@@ -182,26 +177,30 @@
         now: Moment,
     ) -> Vec<DirectoryEvent> {
         // A server that is not known and not newer had gone before this directory began.
-        changes.retain(|change| change.version() > self.newest);
+        changes.retain(|change| change.version() > self.newest_version);
         self.apply_all(changes, version, now)
     }
 
     /// Takes in what another box tells. `None` comes back if changes before those are missing here; nothing is
     /// changed then.
-    pub fn told(&mut self, told: ToldChanges, now: Moment) -> Option<Vec<DirectoryEvent>> {
-        let ToldChanges { basis, from, to, changes } = told;
-        if to <= self.newest {
+    pub fn apply_received(
+        &mut self,
+        told: ReceivedChanges,
+        now: Moment,
+    ) -> Option<Vec<DirectoryEvent>> {
+        let ReceivedChanges { origin, from, to, changes } = told;
+        if to <= self.newest_version {
             return Some(Vec::new());
         }
-        let follows_on = match basis {
+        let follows_on = match origin {
             // All changes since the beginning are what a box of an earlier version says of its first listing.
-            Basis::Feed => from > 0 && from <= self.newest,
-            Basis::Listing => from == self.newest,
+            ChangeOrigin::Feed => from > 0 && from <= self.newest_version,
+            ChangeOrigin::Listing => from == self.newest_version,
         };
         if !follows_on {
             return None;
         }
-        if basis == Basis::Listing {
+        if origin == ChangeOrigin::Listing {
             self.complete_after = to;
         }
         Some(self.apply(changes, to, now))
@@ -209,10 +208,15 @@
 
     /// Takes in what another box gave that knows the servers at `version`. What is older than what is known changes
     /// nothing.
-    pub fn update(&mut self, update: Update, version: u64, now: Moment) -> Vec<DirectoryEvent> {
+    pub fn apply_update(
+        &mut self,
+        update: DirectoryUpdate,
+        version: u64,
+        now: Moment,
+    ) -> Vec<DirectoryEvent> {
         match update {
-            Update::Changes(changes) => self.apply(changes, version, now),
-            Update::Whole(rows) => self.replace(rows, version, now).unwrap_or_default(),
+            DirectoryUpdate::Changes(changes) => self.apply(changes, version, now),
+            DirectoryUpdate::Full(rows) => self.replace(rows, version, now).unwrap_or_default(),
         }
     }
 
@@ -225,17 +229,17 @@
         now: Moment,
     ) -> Option<Vec<DirectoryEvent>> {
         let rows = servers.into_iter().map(|(version, entry)| ServerChange::Set { version, entry });
-        self.replace_rows(rows.collect(), version, now)
+        self.replace_with_rows(rows.collect(), version, now)
     }
 
     /// The same with all rows, among which some may name no server.
-    pub fn replace_rows(
+    pub fn replace_with_rows(
         &mut self,
         rows: Vec<ServerChange>,
         version: u64,
         now: Moment,
     ) -> Option<Vec<DirectoryEvent>> {
-        if version < self.newest {
+        if version < self.newest_version {
             return None;
         }
         // What came and went since the version that was known is not in the listing.
@@ -245,7 +249,7 @@
             .servers
             .values()
             .filter(|known| !listed.contains(&known.entry.key) && known.version <= version)
-            .map(|known| ServerChange::Gone { version, key: known.entry.key.clone() })
+            .map(|known| ServerChange::Removed { version, key: known.entry.key.clone() })
             .collect();
         changes.extend(rows);
         Some(self.apply_all(changes, version, now))
@@ -259,7 +263,7 @@
     ) -> Vec<DirectoryEvent> {
         let events: Vec<_> =
             changes.into_iter().flat_map(|change| self.apply_one(change, now)).collect();
-        self.newest = self.newest.max(version);
+        self.newest_version = self.newest_version.max(version);
         self.forget_gone(now);
         events
     }
@@ -278,7 +282,7 @@
 
     /// Returns the changes behind `events`, as of `version`, and the rows that lapsed, for nodes that
     /// did not see the listing that brought them.
-    pub fn changes(&self, events: &[DirectoryEvent], version: u64) -> Vec<ServerChange> {
+    pub fn changes_for(&self, events: &[DirectoryEvent], version: u64) -> Vec<ServerChange> {
         let change = |event: &DirectoryEvent| {
             let id = event.server();
             match self.servers.get(id) {
@@ -289,11 +293,11 @@
                 None => {
                     let mut gone = self.gone.iter();
                     let (key, _) = gone.find(|(_, gone)| gone.run.as_ref() == Some(id))?;
-                    Some(ServerChange::Gone { version, key: key.clone() })
+                    Some(ServerChange::Removed { version, key: key.clone() })
                 }
             }
         };
-        let gone = |(key, version): (&ServerKey, &u64)| ServerChange::Gone {
+        let gone = |(key, version): (&ServerKey, &u64)| ServerChange::Removed {
             version: *version,
             key: key.clone(),
         };
@@ -302,11 +306,11 @@
 
     /// Returns what one that knows the servers up to version `after` lacks: the changes since then, or all
     /// servers where the record of changes does not reach back to it. Rows that lapsed are among those that went.
-    pub fn since(&self, after: u64) -> Update {
+    pub fn update_since(&self, after: u64) -> DirectoryUpdate {
         if after < self.complete_after {
             let listed =
                 self.servers.values().filter(|known| !self.lapsed.contains_key(&known.entry.key));
-            return Update::Whole(
+            return DirectoryUpdate::Full(
                 listed.map(|known| (known.version, known.entry.clone())).collect(),
             );
         }
@@ -316,14 +320,14 @@
         let went = self.gone.iter().map(|(key, gone)| (key, gone.version));
         let lapsed = self.lapsed.iter().map(|(key, version)| (key, *version));
         let gone = went.chain(lapsed).filter(|(_, version)| *version > after);
-        let gone = gone.map(|(key, version)| ServerChange::Gone { version, key: key.clone() });
-        Update::Changes(set.chain(gone).collect())
+        let gone = gone.map(|(key, version)| ServerChange::Removed { version, key: key.clone() });
+        DirectoryUpdate::Changes(set.chain(gone).collect())
     }
 
     fn apply_one(&mut self, change: ServerChange, now: Moment) -> Vec<DirectoryEvent> {
         let event = match change {
             ServerChange::Set { version, entry } => return self.set(version, entry, now),
-            ServerChange::Gone { version, key } => self.remove(version, key, now),
+            ServerChange::Removed { version, key } => self.remove(version, key, now),
             ServerChange::Unusable { version, key, .. } => self.take_away(version, key, now),
         };
         event.into_iter().collect()
@@ -343,9 +347,9 @@
                 let earlier = before.as_ref().map(|before| before.entry.id.clone());
                 let earlier = earlier.or(gone.as_ref().and_then(|gone| gone.run.clone()));
                 let comes_back = earlier.as_ref() == Some(&id);
-                let first_learned = if comes_back { Moment::default() } else { now };
+                let first_learned_at = if comes_back { Moment::default() } else { now };
                 let replaces = earlier.filter(|_| !comes_back);
-                self.first(version, entry, now, first_learned, replaces)
+                self.first(version, entry, now, first_learned_at, replaces)
             }
         };
         let drained_before = before
@@ -359,7 +363,7 @@
             _ => DirectoryEvent::Joined(id.clone()),
         };
         let known = Arc::new(known);
-        self.listing.replace(before.as_ref(), Some(&known));
+        self.index.replace(before.as_ref(), Some(&known));
         self.servers.insert(id.clone(), known);
         let ended = self.runs.insert(key, id.clone()).filter(|run| *run != id);
         let ended = ended.inspect(|run| _ = self.servers.remove(run)).map(DirectoryEvent::Left);
@@ -375,8 +379,8 @@
         known.is_some_and(|known| known.version >= version)
             || gone.is_some_and(|gone| gone.version >= version)
             || lapsed_at >= version.max(1)
-            || known.is_some_and(|known| entry.is_earlier_run(known.entry.started))
-            || gone.is_some_and(|gone| entry.is_earlier_run(gone.started))
+            || known.is_some_and(|known| entry.is_from_earlier_incarnation(known.entry.started))
+            || gone.is_some_and(|gone| entry.is_from_earlier_incarnation(gone.started))
     }
 
     /// Returns a run of which the node knew nothing before.
@@ -385,7 +389,7 @@
         version: u64,
         entry: ServerEntry,
         now: Moment,
-        first_learned: Moment,
+        first_learned_at: Moment,
         replaces: Option<BackendId>,
     ) -> KnownServer {
         // A server begins empty, so one that is new here and holds models was missing from the list.
@@ -395,8 +399,8 @@
         let drains = entry.state != ServerState::Ready;
         KnownServer {
             version,
-            learned: now,
-            first_learned,
+            learned_at: now,
+            first_learned_at,
             draining_since: drains.then_some(now),
             may_drain_since: drains.then_some(self.heard_at),
             was_ready: !drains,
@@ -416,8 +420,8 @@
         let drains = entry.state != ServerState::Ready;
         KnownServer {
             version,
-            learned: now,
-            first_learned: before.first_learned,
+            learned_at: now,
+            first_learned_at: before.first_learned_at,
             draining_since: drains.then(|| before.draining_since.unwrap_or(now)),
             may_drain_since: drains.then(|| before.may_drain_since.unwrap_or(self.heard_at)),
             was_ready: !drains || before.was_ready,
@@ -446,7 +450,7 @@
         self.lapsed.remove(&key);
         let run = self.runs.remove(&key);
         let known = run.as_ref().and_then(|run| self.servers.remove(run));
-        self.listing.replace(known.as_ref(), None);
+        self.index.replace(known.as_ref(), None);
         let before = self.gone.get(&key);
         let gone = GoneServer {
             version: before.map_or(version, |before| before.version.max(version)),
--- a/trackfront_core/src/serving/sampling.rs
+++ b/trackfront_core/src/serving/sampling.rs
@@ -24,7 +24,7 @@
 ) -> Vec<&'a Arc<KnownServer>> {
     let usable: Vec<&Arc<KnownServer>> = servers.filter(|server| usable(server)).collect();
     let near: Vec<&Arc<KnownServer>> =
-        usable.iter().filter(|server| server.entry.zone == *hall).copied().collect();
+        usable.iter().filter(|server| server.entry.hall == *hall).copied().collect();
     let from = if near.is_empty() { usable } else { near };
     from.sample(rng, COMPARED).copied().collect()
 }
--- a/trackfront_core/tests/serving/choice.rs
+++ b/trackfront_core/tests/serving/choice.rs
@@ -241,7 +241,7 @@
 
 #[test]
 fn the_own_zone_is_preferred_until_it_is_busier() {
-    let far = ServerEntry { zone: "b".into(), ..entry("x", &["m"]) };
+    let far = ServerEntry { hall: "b".into(), ..entry("x", &["m"]) };
     let near = entry("yy", &["m"]);
     let mut case = case(vec![far, near], info(Some(item("m", None)), 1_000));
     assert_eq!(case.chosen(), "yy");
@@ -268,7 +268,7 @@
 }
 
 fn in_hall(id: &str, hall: &str) -> ServerEntry {
-    ServerEntry { zone: hall.into(), ..entry(id, &["m"]) }
+    ServerEntry { hall: hall.into(), ..entry(id, &["m"]) }
 }
 
 fn regions(names: &[&str]) -> Option<BTreeSet<RegionName>> {
--- a/trackfront_core/tests/serving/directory_listed.rs
+++ b/trackfront_core/tests/serving/directory_listed.rs
@@ -28,10 +28,10 @@
     let mut learned: HashMap<&str, Moment> = HashMap::new();
     for known in directory.all() {
         let last = learned.entry(&known.entry.address).or_default();
-        *last = (*last).max(known.first_learned);
+        *last = (*last).max(known.first_learned_at);
     }
     let is_last =
-        |known: &&Arc<KnownServer>| known.first_learned >= learned[known.entry.address.as_str()];
+        |known: &&Arc<KnownServer>| known.first_learned_at >= learned[known.entry.address.as_str()];
     let of_service = directory.all().filter(|known| known.entry.service == *service);
     let mut listed: Vec<_> = of_service.filter(is_last).cloned().collect();
     listed.sort_by(|a, b| a.entry.id.cmp(&b.entry.id));
@@ -41,7 +41,7 @@
 fn random_change(directory: &Directory, version: u64, rng: &mut ChaCha8Rng) -> ServerChange {
     let key = format!("s{}", rng.random_range(0..SERVERS));
     if rng.random_bool(0.1) {
-        return ServerChange::Gone { version, key: key.as_str().into() };
+        return ServerChange::Removed { version, key: key.as_str().into() };
     }
     let known = directory.all().find(|known| known.entry.key == key.as_str().into());
     // Most rows say the same of where a server is.
@@ -80,10 +80,10 @@
             changes.push(random_change(&directory, version, &mut rng));
         }
         if rng.random_bool(0.01) {
-            directory.platform_came_back(HEARTBEAT * 3, now);
+            directory.platform_recovered(HEARTBEAT * 3, now);
         }
         directory.apply(changes, version, now);
-        directory.end_lapses(now);
+        directory.drop_expired_rows(now);
         for service in SERVICES.map(ServiceName::from) {
             let expected = listed_from_nothing(&directory, &service);
             let listed = directory.of_service(&service);
--- a/trackfront_core/tests/serving/directory_random.rs
+++ b/trackfront_core/tests/serving/directory_random.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use trackfront_core::ids::ServerKey;
 use trackfront_core::serving::directory::{
-    Basis, Directory, ServerChange, ServerEntry, ToldChanges,
+    ChangeOrigin, Directory, ReceivedChanges, ServerChange, ServerEntry,
 };
 
 use super::support::{HEARTBEAT, at, entry};
@@ -66,7 +66,7 @@
         match known {
             Some(id) if !joins && rng.random_bool(0.7) => {
                 rows.remove(&id);
-                self.write(ServerChange::Gone { version, key: id }, rows);
+                self.write(ServerChange::Removed { version, key: id }, rows);
             }
             Some(id) if !joins && rng.random_bool(0.4) => {
                 // It starts again under its key, or what its first run wrote comes late.
@@ -113,9 +113,9 @@
 struct World {
     table: Table,
     boxes: Vec<Directory>,
-    on_their_way: Vec<(usize, ToldChanges)>,
+    on_their_way: Vec<(usize, ReceivedChanges)>,
     /// Answers of the platform that have not come yet.
-    answers: Vec<(usize, ToldChanges)>,
+    answers: Vec<(usize, ReceivedChanges)>,
     /// The latest start under each key that each box heard of.
     heard: Vec<BTreeMap<ServerKey, u64>>,
     now: u64,
@@ -123,8 +123,8 @@
 
 impl World {
     /// Tells the others; some messages are lost.
-    fn tell(&mut self, from_box: usize, told: ToldChanges, rng: &mut ChaCha8Rng) {
-        for message in told.messages(CHANGES_AT_ONCE) {
+    fn tell(&mut self, from_box: usize, told: ReceivedChanges, rng: &mut ChaCha8Rng) {
+        for message in told.into_messages(CHANGES_AT_ONCE) {
             for other in (0..BOXES).filter(|other| *other != from_box) {
                 if rng.random_bool(0.8) {
                     self.on_their_way.push((other, message.clone()));
@@ -140,23 +140,24 @@
         // What is read from one of the platform's machines may be a little old.
         let version = self.table.version() - rng.random_range(0..=2.min(self.table.version() - 1));
         let rows: Vec<_> = self.table.rows(version).values().cloned().collect();
-        let from = self.boxes[index].newest();
+        let from = self.boxes[index].newest_version();
         let Some(events) = self.boxes[index].replace(rows, version, at(self.now)) else {
             return;
         };
-        let changes = self.boxes[index].changes(&events, version);
-        let told = ToldChanges::of_listing(from, version, changes, CHANGES_AT_ONCE);
+        let changes = self.boxes[index].changes_for(&events, version);
+        let told = ReceivedChanges::from_listing(from, version, changes, CHANGES_AT_ONCE);
         self.tell(index, told, rng);
     }
 
     /// Asks for what has changed; the answer comes later.
     fn follow(&mut self, index: usize, rng: &mut ChaCha8Rng) {
-        let (from, to) = (self.boxes[index].newest(), self.table.version());
+        let (from, to) = (self.boxes[index].newest_version(), self.table.version());
         if from == 0 {
             return self.list(index, rng);
         }
         let changes = self.table.feed(from);
-        self.answers.push((index, ToldChanges { basis: Basis::Feed, from, to, changes }));
+        self.answers
+            .push((index, ReceivedChanges { origin: ChangeOrigin::Feed, from, to, changes }));
     }
 
     fn take_answer(&mut self, rng: &mut ChaCha8Rng) {
@@ -177,10 +178,11 @@
 
     fn copy(&mut self, index: usize, rng: &mut ChaCha8Rng) {
         let other = rng.random_range(0..BOXES);
-        let (known, version) = (self.boxes[index].newest(), self.boxes[other].newest());
+        let (known, version) =
+            (self.boxes[index].newest_version(), self.boxes[other].newest_version());
         if version > known {
-            let update = self.boxes[other].since(known);
-            self.boxes[index].update(update, version, at(self.now));
+            let update = self.boxes[other].update_since(known);
+            self.boxes[index].apply_update(update, version, at(self.now));
         }
     }
 
@@ -199,8 +201,8 @@
                 let message = rng.random_range(0..self.on_their_way.len());
                 let (to, told) = self.on_their_way.swap_remove(message);
                 // A box that has not listed the servers takes in nothing.
-                if self.boxes[to].newest() > 0 {
-                    self.boxes[to].told(told, at(self.now));
+                if self.boxes[to].newest_version() > 0 {
+                    self.boxes[to].apply_received(told, at(self.now));
                 }
             }
         }
@@ -226,7 +228,7 @@
 
     fn check_servers(&self, index: usize) {
         let known = &self.boxes[index];
-        let version = known.newest();
+        let version = known.newest_version();
         if version == 0 {
             assert_eq!(known.all().count(), 0, "box {index} has listed nothing");
             return;
--- a/trackfront_core/tests/serving/sampling.rs
+++ b/trackfront_core/tests/serving/sampling.rs
@@ -15,7 +15,7 @@
 
 fn in_hall(id: String, hall: &str) -> ServerEntry {
     let address = format!("{id}:80");
-    ServerEntry { zone: hall.into(), address, ..entry(&id, &["m"]) }
+    ServerEntry { hall: hall.into(), address, ..entry(&id, &["m"]) }
 }
 
 #[test]
@@ -46,7 +46,7 @@
         assert_eq!(some[0].entry.id, "x".into());
         let without = |server: &_| !std::ptr::eq(server, servers[0].as_ref());
         let some = sample_servers(servers.iter(), &"a".into(), without, &mut rng);
-        assert!(some.len() == 2 && some.iter().all(|server| server.entry.zone == "b".into()));
+        assert!(some.len() == 2 && some.iter().all(|server| server.entry.hall == "b".into()));
     }
     assert!(sample_servers(servers.iter(), &"a".into(), |_| false, &mut rng).is_empty());
 }
--- a/trackfrontd/src/serving/cold.rs
+++ b/trackfrontd/src/serving/cold.rs
@@ -44,7 +44,7 @@
     /// that time is unknown, and its row may be updated only after the hall is used again. So it
     /// counts as cold for as long as after a start.
     fn until(&self, server: &KnownServer, start: ColdStart) -> Option<Moment> {
-        let returned = self.evacuations.returned_at(&server.entry.zone);
+        let returned = self.evacuations.returned_at(&server.entry.hall);
         let by_hall = returned.map(|at| at + start.lasts);
         let by_answer = self.tracker.reported_until(&server.entry.id);
         server.cold_until().max(by_answer).max(by_hall)
--- a/trackfrontd/src/serving/exchange.rs
+++ b/trackfrontd/src/serving/exchange.rs
@@ -26,7 +26,7 @@
 use trackfront_core::ports::StoredConfig;
 use trackfront_core::serving::config::ServingConfig;
 use trackfront_core::serving::crashes::CrashReport;
-use trackfront_core::serving::directory::Update;
+use trackfront_core::serving::directory::DirectoryUpdate;
 use trackfront_core::serving::places::HallWord;
 use trackfront_core::units::Moment;
 
@@ -104,7 +104,7 @@
     /// The version that it knows.
     pub version: u64,
     /// What leads there.
-    pub update: Update,
+    pub update: DirectoryUpdate,
 }
 
 /// A copy as it goes over the wire.
@@ -203,11 +203,11 @@
         return None;
     }
     let directory = node.directory.lock();
-    let version = directory.newest();
+    let version = directory.newest_version();
     if known >= version {
         return None;
     }
-    let copy = || ServersSnapshot { version, update: directory.since(known) };
+    let copy = || ServersSnapshot { version, update: directory.update_since(known) };
     Some(packed(&node.exchange.servers, known, version, copy))
 }
 
--- a/trackfrontd/src/serving/feed_relay.rs
+++ b/trackfrontd/src/serving/feed_relay.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use trackfront_core::serving::directory::{Basis, ServerChange, ToldChanges};
+use trackfront_core::serving::directory::{ChangeOrigin, ReceivedChanges, ServerChange};
 use trackfront_core::serving::places::HallWord;
 use trackfront_core::units::Moment;
 
@@ -79,12 +79,12 @@
 
 impl FeedUpdate {
     /// Returns the message that tells changes of servers.
-    pub fn from_changes(told: ToldChanges, lapses: Duration) -> Self {
-        let ToldChanges { basis, from, to, changes } = told;
+    pub fn from_changes(told: ReceivedChanges, lapses: Duration) -> Self {
+        let ReceivedChanges { origin, from, to, changes } = told;
         let lapses_ms = lapses.as_millis() as u64;
-        match basis {
-            Basis::Feed => FeedUpdate::Servers { from, to, changes, lapses_ms },
-            Basis::Listing => FeedUpdate::Listing { from, to, changes, lapses_ms },
+        match origin {
+            ChangeOrigin::Feed => FeedUpdate::Servers { from, to, changes, lapses_ms },
+            ChangeOrigin::Listing => FeedUpdate::Listing { from, to, changes, lapses_ms },
         }
     }
 }
@@ -209,7 +209,7 @@
 }
 
 /// Passes on what came of the servers.
-pub async fn relay_server_changes(node: &ServingNode, socket: &PeerSocket, told: ToldChanges) {
+pub async fn relay_server_changes(node: &ServingNode, socket: &PeerSocket, told: ReceivedChanges) {
     let is_news = !told.changes.is_empty();
     let Some(mates) = must_tell(node, FeedKind::Servers, is_news) else {
         return;
@@ -219,8 +219,8 @@
         let (boxes, is_reader) = (mates.others.len(), mates.is_reader());
         log::info!(from, to, changes, boxes, is_reader; "hall told of servers");
     }
-    let lapses = node.directory.lock().lapses_for(node.now());
-    for message in told.messages(MAX_CHANGES_PER_MESSAGE) {
+    let lapses = node.directory.lock().remaining_expiry_grace(node.now());
+    for message in told.into_messages(MAX_CHANGES_PER_MESSAGE) {
         let relay = FeedUpdate::from_changes(message, lapses);
         // Packed, a change has 80 to 160 bytes instead of 200, the fewer the more go together.
         socket.send(&Message::PackedFeedUpdate(pack(&relay).into()), &mates.others).await;
@@ -266,18 +266,18 @@
             follow::apply_hall_records(node, &words, follow::Source::OtherBox);
         }
         FeedUpdate::Servers { from, to, changes, lapses_ms } => {
-            let told = ToldChanges { basis: Basis::Feed, from, to, changes };
+            let told = ReceivedChanges { origin: ChangeOrigin::Feed, from, to, changes };
             take_servers(node, from_ip, told, Duration::from_millis(lapses_ms));
         }
         FeedUpdate::Listing { from, to, changes, lapses_ms } => {
-            let told = ToldChanges { basis: Basis::Listing, from, to, changes };
+            let told = ReceivedChanges { origin: ChangeOrigin::Listing, from, to, changes };
             take_servers(node, from_ip, told, Duration::from_millis(lapses_ms));
         }
     }
     node.feed_update_received.notify_waiters();
 }
 
-fn take_servers(node: &ServingNode, from_ip: Ipv4Addr, told: ToldChanges, lapses: Duration) {
+fn take_servers(node: &ServingNode, from_ip: Ipv4Addr, told: ReceivedChanges, lapses: Duration) {
     let now = node.now();
     let (from, to, count) = (told.from, told.to, told.changes.len());
     // A full message may be followed by others.
@@ -285,16 +285,16 @@
     let failed_at = node.store_failed_at();
     let mut directory = node.directory.lock();
     if !lapses.is_zero() {
-        directory.reader_expects_lapses(lapses, failed_at, now);
+        directory.extend_expiry_grace(lapses, failed_at, now);
     }
-    let known = directory.newest();
+    let known = directory.newest_version();
     // Before the first listing, and after a lost message, changes alone are not enough.
     let events = match node.knows_servers() {
-        true => directory.told(told, now),
+        true => directory.apply_received(told, now),
         false => None,
     };
     if events.is_some() && is_last {
-        directory.heard(now);
+        directory.confirm_current(now);
     }
     drop(directory);
     let misses = events.is_none();
--- a/trackfrontd/src/serving/follow/feed_client.rs
+++ b/trackfrontd/src/serving/follow/feed_client.rs
@@ -86,7 +86,7 @@
         }
         if let Some(since) = self.failing_since.take() {
             let now = self.node.now();
-            self.node.directory.lock().platform_came_back(now.since(since), now);
+            self.node.directory.lock().platform_recovered(now.since(since), now);
         }
         self.failures = 0;
         self.node.set_store_lost(false);
--- a/trackfrontd/src/serving/follow/servers.rs
+++ b/trackfrontd/src/serving/follow/servers.rs
@@ -4,7 +4,9 @@
 
 use tokio::time::sleep;
 use trackfront_core::ports::{Feed, Listing};
-use trackfront_core::serving::directory::{Basis, DirectoryEvent, ServerChange, ToldChanges};
+use trackfront_core::serving::directory::{
+    ChangeOrigin, DirectoryEvent, ReceivedChanges, ServerChange,
+};
 
 use super::feed_client::{FIRST_PAUSE, FeedClient};
 use crate::serving::boxes;
@@ -48,13 +50,13 @@
         let (from, found) = take_listing(&node, listing);
         let Some(Found { events, changes }) = found else {
             log::info!(version = to; "list of servers older than what is known");
-            relay_server_changes(&node, &socket, ToldChanges::nothing(from)).await;
+            relay_server_changes(&node, &socket, ReceivedChanges::empty(from)).await;
             sleep(FIRST_PAUSE).await;
             continue;
         };
         handle_events(&node, events, to, Source::Platform);
         // Who knows something else hears that there is more, and asks for a copy.
-        let told = ToldChanges::of_listing(from, to, changes, MAX_CHANGES_PER_MESSAGE);
+        let told = ReceivedChanges::from_listing(from, to, changes, MAX_CHANGES_PER_MESSAGE);
         relay_server_changes(&node, &socket, told).await;
         node.set_knows_servers();
         follow_from(&node, &socket, &mut link).await;
@@ -63,7 +65,7 @@
 
 /// Takes in what another box knows that this one does not. Returns whether there was something.
 async fn take_copy(node: &Arc<ServingNode>, link: &FeedClient) -> bool {
-    let known = node.directory.lock().newest();
+    let known = node.directory.lock().newest_version();
     let told_by = node.feed_state.lock().take_gap();
     let mut sources = link.sources(told_by);
     if sources.is_empty() && known == 0 {
@@ -75,7 +77,7 @@
     let events = {
         let mut directory = node.directory.lock();
         // What came in between by relay is newer, or was passed over for the gap.
-        directory.update(copy.update, copy.version, node.now())
+        directory.apply_update(copy.update, copy.version, node.now())
     };
     handle_events(node, events, copy.version, Source::OtherBox);
     node.feed_state.lock().record(FeedKind::Servers, node.now());
@@ -96,14 +98,14 @@
     let rows: Vec<ServerChange> = listing.rows.into_iter().map(|(_, row)| row).collect();
     node.unusable_rows.record(&rows, &node.metrics);
     let mut directory = node.directory.lock();
-    let from = directory.newest();
+    let from = directory.newest_version();
     let now = node.now();
-    let events = directory.replace_rows(rows, listing.version, now);
+    let events = directory.replace_with_rows(rows, listing.version, now);
     if events.is_some() {
-        directory.heard(now);
+        directory.confirm_current(now);
     }
     let found = events.map(|events| {
-        let changes = directory.changes(&events, listing.version);
+        let changes = directory.changes_for(&events, listing.version);
         Found { events, changes }
     });
     (from, found)
@@ -120,7 +122,7 @@
             continue;
         }
         link.count("follow_servers");
-        let from = node.directory.lock().newest();
+        let from = node.directory.lock().newest_version();
         let call = node.ports.knowledge.follow_servers(from, link.feed_wait());
         let Some(answer) = link.unless_suspended(call).await else {
             return;
@@ -131,7 +133,7 @@
                 let some = !changes.is_empty();
                 let events = take_changes(node, changes.clone(), to);
                 handle_events(node, events, to, Source::Platform);
-                let told = ToldChanges { basis: Basis::Feed, from, to, changes };
+                let told = ReceivedChanges { origin: ChangeOrigin::Feed, from, to, changes };
                 relay_server_changes(node, socket, told).await;
                 if some {
                     sleep(link.part_of_drain(GATHER_PART)).await;
@@ -155,7 +157,7 @@
     let now = node.now();
     let mut directory = node.directory.lock();
     let events = directory.apply(changes, to, now);
-    directory.heard(now);
+    directory.confirm_current(now);
     events
 }
 
@@ -174,9 +176,9 @@
 
 /// Takes servers away whose rows lapsed and did not come back in time.
 pub fn drop_expired_rows(node: &ServingNode) {
-    let events = node.directory.lock().end_lapses(node.now());
+    let events = node.directory.lock().drop_expired_rows(node.now());
     if !events.is_empty() {
-        let version = node.directory.lock().newest();
+        let version = node.directory.lock().newest_version();
         log::info!(servers = events.len(), version; "rows lapsed and did not come back");
         handle_events(node, events, version, Source::OtherBox);
     }
--- a/trackfrontd/src/serving/order_tracker.rs
+++ b/trackfrontd/src/serving/order_tracker.rs
@@ -74,7 +74,7 @@
         .report
         .as_ref()
         .filter(|(report, _)| !report.is_of_other_run(entry))
-        .filter(|(report, at)| report.sequence > entry.sequence || *at > server.learned);
+        .filter(|(report, at)| report.sequence > entry.sequence || *at > server.learned_at);
     let (models, in_memory, on_disk, pending) = match report {
         Some((report, _)) => (
             report.models.clone(),
--- a/trackfrontd/src/serving/pipeline/attempt.rs
+++ b/trackfrontd/src/serving/pipeline/attempt.rs
@@ -220,7 +220,7 @@
     /// have been evacuated, it may have named a limit or asked this box to back off, or it may have
     /// become cold.
     fn may_send_to(&self, server: &KnownServer, permit: Option<Permit>, now: Moment) -> bool {
-        let is_evacuated = self.node.evacuations.lock().is_evacuated(&server.entry.zone);
+        let is_evacuated = self.node.evacuations.lock().is_evacuated(&server.entry.hall);
         !is_evacuated
             && self.node.notices.lock().admits(&server.entry.id, permit, now)
             && cold::reserve(&self.node, self.cold_start(), server, now)
@@ -340,7 +340,7 @@
         let known = &choice.server;
         let now = self.node.now();
         let age = |moment: Moment| now.since(moment).as_millis() as u64;
-        let list = self.node.directory.lock().newest();
+        let list = self.node.directory.lock().newest_version();
         let list_age = self.node.feed_state.lock().silence(FeedKind::Servers, now);
         log::info!(
             request:% = self.info.id,
@@ -349,7 +349,7 @@
             config = self.config.version,
             server:% = known.entry.id,
             row = known.version,
-            row_age_ms = age(known.learned),
+            row_age_ms = age(known.learned_at),
             list,
             list_age_ms = list_age.map_or(-1, |age| age.as_millis() as i64),
             expected_ms = expected_ms as u64,
--- a/trackfrontd/src/serving/pipeline/choice.rs
+++ b/trackfrontd/src/serving/pipeline/choice.rs
@@ -71,7 +71,7 @@
                 let id = &known.entry.id;
                 known.is_ready()
                     && notices.leaving_since(id).is_none()
-                    && query.places.allow(&known.entry.zone)
+                    && query.places.allow(&known.entry.hall)
                     && !tried.contains(id)
                     && !loads.is_paused(id, query.now)
             };
--- a/trackfrontd/src/serving/placement.rs
+++ b/trackfrontd/src/serving/placement.rs
@@ -138,7 +138,7 @@
     fn knows_engines(&self, placed: &[(ServiceName, EngineSpec)]) -> bool {
         let directory = self.node.directory.lock();
         let some = placed.iter().any(|(service, _)| !directory.of_service(service).is_empty());
-        some && !directory.is_filling(self.node.now())
+        some && !directory.may_be_incomplete(self.node.now())
     }
 
     fn propose(&mut self, service: &ServiceName, spec: &EngineSpec, now: Moment) -> Vec<Proposal> {
@@ -151,7 +151,7 @@
         let evacuations = self.node.evacuations.lock();
         // Servers of an evacuated hall get no requests, so what they hold counts as missing.
         let is_used = |server: &&Arc<KnownServer>| {
-            self.node.accepts_new(server) && !evacuations.is_evacuated(&server.entry.zone)
+            self.node.accepts_new(server) && !evacuations.is_evacuated(&server.entry.hall)
         };
         let used: Vec<&Arc<KnownServer>> = servers.iter().filter(is_used).collect();
         let demand = self.node.demand.lock().total(now);
--- a/trackfrontd/tests/messages.rs
+++ b/trackfrontd/tests/messages.rs
@@ -37,10 +37,10 @@
             started: Some(1_700_000_000_000 + index as u64 * 37),
             service: "huvo11a".into(),
             address: format!("10.1.64.{}:{}", index + 3, 8_500 + index),
-            zone: "lima-surco".into(),
+            hall: "lima-surco".into(),
             slots: 64,
             state: ServerState::Ready,
-            cold_for: std::time::Duration::ZERO,
+            cold_remaining: std::time::Duration::ZERO,
             models: (0..3)
                 .map(|model| (format!("daka{}", index * 7 + model).as_str().into(), held()))
                 .collect(),
