--- a/trackfront_core/src/ports/knowledge.rs
+++ b/trackfront_core/src/ports/knowledge.rs
@@ -9,7 +9,7 @@
 use crate::ports::TableError;
 use crate::serving::config::ServingConfig;
 use crate::serving::directory::ServerChange;
-use crate::serving::places::HallWord;
+use crate::serving::halls::HallStatus;
 
 /// All rows as of one moment.
 #[derive(Clone, Debug, PartialEq)]
@@ -49,7 +49,7 @@
     /// A configuration.
     Config(StoredConfig),
     /// That the servers of a hall are to get nothing, or are used again.
-    Hall(HallWord),
+    Hall(HallStatus),
 }
 
 /// Reads the configuration and the list of servers.
--- a/trackfront_core/src/serving/choice.rs
+++ b/trackfront_core/src/serving/choice.rs
@@ -11,8 +11,8 @@
 use crate::serving::affinity::{Prefix, PrefixIndex};
 use crate::serving::cold::ColdState;
 use crate::serving::directory::KnownServer;
+use crate::serving::halls::AllowedHalls;
 use crate::serving::load::{LoadTracker, RANKS};
-use crate::serving::places::Places;
 use crate::serving::request::{ModelRef, RequestInfo};
 use crate::units::Moment;
 
@@ -57,7 +57,7 @@
     /// The node's zone.
     pub hall: &'a HallName,
     /// Where it may be served.
-    pub places: Places<'a>,
+    pub places: AllowedHalls<'a>,
     /// How long after the node learned that it drains a server may still be sent what no other can answer.
     pub drain_grace: Duration,
     /// How long after it may have begun to drain at the latest.
--- a/trackfront_core/src/serving/places.rs
+++ b/trackfront_core/src/serving/halls.rs
@@ -13,7 +13,7 @@
 
 /// What the operator last said of a hall.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HallWord {
+pub struct HallStatus {
     /// The hall.
     pub hall: HallName,
     /// The version of the row, or of its removal.
@@ -38,7 +38,7 @@
 
 impl Evacuations {
     /// Takes in a word. Returns whether the hall is used differently from now on.
-    pub fn told(&mut self, word: &HallWord, now: Moment) -> bool {
+    pub fn apply(&mut self, word: &HallStatus, now: Moment) -> bool {
         let before = self.halls.get(&word.hall).copied();
         if before.is_some_and(|before| before.version >= word.version) {
             return false;
@@ -53,12 +53,17 @@
 
     /// Returns the words that follow from a listing of all rows at `version`: those rows, and that halls which are
     /// in none of them are used again.
-    pub fn of_listing(&self, mut rows: Vec<HallWord>, version: u64) -> Vec<HallWord> {
+    pub fn statuses_from_listing(
+        &self,
+        mut rows: Vec<HallStatus>,
+        version: u64,
+    ) -> Vec<HallStatus> {
         let listed: BTreeSet<HallName> = rows.iter().map(|word| word.hall.clone()).collect();
         let ended = self.halls.iter().filter(|(hall, known)| {
             known.is_evacuated && known.version <= version && !listed.contains(*hall)
         });
-        let word = |hall: &HallName| HallWord { hall: hall.clone(), version, is_evacuated: false };
+        let word =
+            |hall: &HallName| HallStatus { hall: hall.clone(), version, is_evacuated: false };
         rows.extend(ended.map(|(hall, _)| word(hall)));
         rows
     }
@@ -74,14 +79,14 @@
     }
 
     /// Returns when this box learned that a hall is used again.
-    pub fn returned_at(&self, hall: &HallName) -> Option<Moment> {
+    pub fn reopened_at(&self, hall: &HallName) -> Option<Moment> {
         let known = self.halls.get(hall)?;
         (!known.is_evacuated).then_some(known.learned)
     }
 
     /// Returns all that is known, for another box.
-    pub fn words(&self) -> Vec<HallWord> {
-        let word = |(hall, known): (&HallName, &KnownHall)| HallWord {
+    pub fn statuses(&self) -> Vec<HallStatus> {
+        let word = |(hall, known): (&HallName, &KnownHall)| HallStatus {
             hall: hall.clone(),
             version: known.version,
             is_evacuated: known.is_evacuated,
@@ -92,7 +97,7 @@
 
 /// Where one request may be served.
 #[derive(Clone, Copy, Debug)]
-pub struct Places<'a> {
+pub struct AllowedHalls<'a> {
     /// The halls that are emptied.
     pub evacuations: &'a Evacuations,
     /// The region of each hall.
@@ -101,7 +106,7 @@
     pub bounds: [Option<&'a BTreeSet<RegionName>>; 2],
 }
 
-impl Places<'_> {
+impl AllowedHalls<'_> {
     /// Returns whether the request may be sent to the servers of a hall. Where the hall's region is not known, only
     /// what is bound to none may.
     pub fn allow(&self, hall: &HallName) -> bool {
--- a/trackfront_core/tests/serving.rs
+++ b/trackfront_core/tests/serving.rs
@@ -17,13 +17,13 @@
     mod directory_random;
     mod forecast;
     mod freshness;
+    mod halls;
     mod limited;
     mod load;
     mod notices;
     mod orders;
     mod orders_random;
     mod permits;
-    mod places;
     mod planner;
     mod planner_random;
     mod refusal_retries;
--- a/trackfront_core/tests/serving/choice.rs
+++ b/trackfront_core/tests/serving/choice.rs
@@ -9,8 +9,8 @@
 };
 use trackfront_core::serving::cold::ColdState;
 use trackfront_core::serving::directory::{KnownServer, ServerEntry, ServerState};
+use trackfront_core::serving::halls::{AllowedHalls, Evacuations, HallStatus};
 use trackfront_core::serving::load::{AttemptOutcome, LoadTracker, ReportedLoad, Work};
-use trackfront_core::serving::places::{Evacuations, HallWord, Places};
 use trackfront_core::serving::request::{ModelRef, PromptPart, RequestInfo};
 use trackfront_core::units::Moment;
 
@@ -94,7 +94,7 @@
             rank: 1,
             tried: &self.tried,
             hall: &"a".into(),
-            places: Places {
+            places: AllowedHalls {
                 evacuations: &self.evacuations,
                 regions: &self.regions,
                 bounds: [self.bounds[0].as_ref(), self.bounds[1].as_ref()],
@@ -281,14 +281,14 @@
     let mut case = case(servers, info(Some(item("m", None)), 1_000));
     case.busy("y", 9_000);
     assert_eq!(case.chosen(), "x");
-    let word = |version, is_evacuated| HallWord { hall: "a".into(), version, is_evacuated };
-    case.evacuations.told(&word(5, true), at(0));
+    let word = |version, is_evacuated| HallStatus { hall: "a".into(), version, is_evacuated };
+    case.evacuations.apply(&word(5, true), at(0));
     assert_eq!(case.chosen(), "y");
-    case.evacuations.told(&word(4, false), at(0));
+    case.evacuations.apply(&word(4, false), at(0));
     assert_eq!(case.chosen(), "y", "an earlier word that comes late changes nothing");
-    case.evacuations.told(&HallWord { hall: "b".into(), ..word(6, true) }, at(0));
+    case.evacuations.apply(&HallStatus { hall: "b".into(), ..word(6, true) }, at(0));
     assert_eq!(case.choose().unwrap_err(), NoChoice::NotAllowed);
-    case.evacuations.told(&word(7, false), at(0));
+    case.evacuations.apply(&word(7, false), at(0));
     assert_eq!(case.chosen(), "x");
 }
 
--- a/trackfrontd/src/serving/cold.rs
+++ b/trackfrontd/src/serving/cold.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 use trackfront_core::serving::cold::{ColdStart, ColdStartTolerance, ColdState, ColdTracker};
 use trackfront_core::serving::directory::KnownServer;
-use trackfront_core::serving::places::Evacuations;
+use trackfront_core::serving::halls::Evacuations;
 use trackfront_core::units::Moment;
 
 use super::node::ServingNode;
@@ -44,7 +44,7 @@
     /// that time is unknown, and its row may be updated only after the hall is used again. So it
     /// counts as cold for as long as after a start.
     fn until(&self, server: &KnownServer, start: ColdStart) -> Option<Moment> {
-        let returned = self.evacuations.returned_at(&server.entry.hall);
+        let returned = self.evacuations.reopened_at(&server.entry.hall);
         let by_hall = returned.map(|at| at + start.lasts);
         let by_answer = self.tracker.reported_until(&server.entry.id);
         server.cold_until().max(by_answer).max(by_hall)
--- a/trackfrontd/src/serving/exchange.rs
+++ b/trackfrontd/src/serving/exchange.rs
@@ -27,7 +27,7 @@
 use trackfront_core::serving::config::ServingConfig;
 use trackfront_core::serving::crashes::CrashReport;
 use trackfront_core::serving::directory::DirectoryUpdate;
-use trackfront_core::serving::places::HallWord;
+use trackfront_core::serving::halls::HallStatus;
 use trackfront_core::units::Moment;
 
 use super::config_freshness::ConfirmedRow;
@@ -95,7 +95,7 @@
     row: u64,
     config: ServingConfig,
     /// What the operator said of halls, as of the moment at which it was packed.
-    halls: Vec<HallWord>,
+    halls: Vec<HallStatus>,
 }
 
 /// What another box knows more of the servers.
@@ -191,7 +191,7 @@
     if known >= row {
         return None;
     }
-    let halls = node.evacuations.lock().words();
+    let halls = node.evacuations.lock().statuses();
     let halls_version = halls.iter().map(|word| word.version).max().unwrap_or(0);
     let copy = || ConfigSnapshot { row, config: ServingConfig::clone(&config), halls };
     // A whole configuration: what the asker knew makes no difference to it, but what is known of halls does.
--- a/trackfrontd/src/serving/feed_relay.rs
+++ b/trackfrontd/src/serving/feed_relay.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 use trackfront_core::serving::directory::{ChangeOrigin, ReceivedChanges, ServerChange};
-use trackfront_core::serving::places::HallWord;
+use trackfront_core::serving::halls::HallStatus;
 use trackfront_core::units::Moment;
 
 use super::follow;
@@ -52,7 +52,7 @@
         row: u64,
     },
     /// The halls that the operator spoke of.
-    Halls(Vec<HallWord>),
+    Halls(Vec<HallStatus>),
     /// Changes of servers.
     Servers {
         /// The version after which they begin.
@@ -201,7 +201,7 @@
     node.feed_state.lock().record_config_row(row, None);
     // Halls go first, as few know them anew where a configuration is fetched. They are told each time: what one
     // datagram lost, the next brings.
-    let words = node.evacuations.lock().words();
+    let words = node.evacuations.lock().statuses();
     if !words.is_empty() {
         socket.send(&Message::FeedUpdate(FeedUpdate::Halls(words)), &mates.others).await;
     }
--- a/trackfrontd/src/serving/follow/config.rs
+++ b/trackfrontd/src/serving/follow/config.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::sleep;
 use trackfront_core::ports::{Feed, Listing, OperatorWord, StoredConfig};
-use trackfront_core::serving::places::HallWord;
+use trackfront_core::serving::halls::HallStatus;
 
 use super::Source;
 use super::feed_client::{FIRST_PAUSE, FeedClient};
@@ -99,7 +99,7 @@
                     }
                 }
             }
-            let words = node.evacuations.lock().of_listing(halls, version);
+            let words = node.evacuations.lock().statuses_from_listing(halls, version);
             let halls_are_news = apply_hall_records(node, &words, Source::Platform);
             Some(Read { version, halls_are_news })
         }
@@ -162,10 +162,11 @@
 }
 
 /// Takes in what the operator said of halls. Returns whether one is used differently from now on.
-pub fn apply_hall_records(node: &ServingNode, words: &[HallWord], source: Source) -> bool {
+pub fn apply_hall_records(node: &ServingNode, words: &[HallStatus], source: Source) -> bool {
     let now = node.now();
     let mut evacuations = node.evacuations.lock();
-    let changed: Vec<&HallWord> = words.iter().filter(|word| evacuations.told(word, now)).collect();
+    let changed: Vec<&HallStatus> =
+        words.iter().filter(|word| evacuations.apply(word, now)).collect();
     node.metrics.evacuated_halls.set(evacuations.count() as i64);
     drop(evacuations);
     for word in &changed {
--- a/trackfrontd/src/serving/pipeline/choice.rs
+++ b/trackfrontd/src/serving/pipeline/choice.rs
@@ -6,7 +6,7 @@
 use trackfront_core::serving::choice::{Choice, NoChoice, Query, choose};
 use trackfront_core::serving::cold::ColdStart;
 use trackfront_core::serving::directory::KnownServer;
-use trackfront_core::serving::places::{Evacuations, Places};
+use trackfront_core::serving::halls::{Evacuations, AllowedHalls};
 use trackfront_core::serving::sampling::sample_servers;
 
 use super::Job;
@@ -105,10 +105,10 @@
         &'a self,
         evacuations: &'a Evacuations,
         settings: &'a ServingSettings,
-    ) -> Places<'a> {
+    ) -> AllowedHalls<'a> {
         let account = self.account.as_ref().and_then(|account| account.regions.as_ref());
         let bounds = [self.route.regions.as_ref(), account];
-        Places { evacuations, regions: &settings.halls, bounds }
+        AllowedHalls { evacuations, regions: &settings.halls, bounds }
     }
 
     /// Returns the reduced load that the service's servers accept after a start; `None` if they
