--- a/trackfront_core/src/serving/freshness.rs
+++ b/trackfront_core/src/serving/key_freshness.rs
@@ -31,30 +31,30 @@
 
 /// How long after the removal of a key it may still be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeyTerms {
+pub struct RevocationTerms {
     /// The bound.
-    pub end: Duration,
+    pub bound: Duration,
 }
 
-impl KeyTerms {
+impl RevocationTerms {
     /// Returns the greatest age with which keys are still answered.
-    pub fn usable_for(self) -> Duration {
-        self.end.mul_f64(1.0 - MARGIN_PART)
+    pub fn max_age(self) -> Duration {
+        self.bound.mul_f64(1.0 - MARGIN_PART)
     }
 
     /// Returns how often the newest is asked for.
-    pub fn ask_every(self) -> Duration {
-        self.end.mul_f64(ASK_PART)
+    pub fn query_interval(self) -> Duration {
+        self.bound.mul_f64(ASK_PART)
     }
 
     /// Returns the age from which more boxes are asked than the reader of the hall.
-    pub fn wider_after(self) -> Duration {
-        self.end.mul_f64(WIDER_PART)
+    pub fn wider_query_age(self) -> Duration {
+        self.bound.mul_f64(WIDER_PART)
     }
 
     /// Returns the age from which the store is asked by a box that reads for itself alone.
-    pub fn store_after(self) -> Duration {
-        self.end.mul_f64(STORE_PART)
+    pub fn store_query_age(self) -> Duration {
+        self.bound.mul_f64(STORE_PART)
     }
 }
 
@@ -85,26 +85,26 @@
 
 /// What is known of the age of the configuration in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Freshness {
+pub struct KeyFreshness {
     in_force: u64,
     as_of: Option<AsOf>,
     /// Word of a row that is not in force here yet.
-    ahead: Option<Newest>,
+    pending: Option<Newest>,
 }
 
-impl Freshness {
+impl KeyFreshness {
     /// Notes that the configuration of a row is in force.
-    pub fn in_force(&mut self, row: u64) {
+    pub fn set_in_force(&mut self, row: u64) {
         self.in_force = self.in_force.max(row);
-        if let Some(ahead) = self.ahead.take_if(|ahead| ahead.row <= self.in_force) {
-            self.confirm(ahead.as_of);
+        if let Some(pending) = self.pending.take_if(|pending| pending.row <= self.in_force) {
+            self.confirm(pending.as_of);
         }
     }
 
     /// Notes that `row` was the newest at `as_of` or later. Where a newer one is in force here it was
     /// written after that moment, so this one was the newest later still.
-    pub fn newest(&mut self, row: u64, as_of: Moment) {
-        self.told(row, Duration::ZERO, as_of);
+    pub fn confirm_newest(&mut self, row: u64, as_of: Moment) {
+        self.apply_peer_answer(row, Duration::ZERO, as_of);
     }
 
     fn note(&mut self, row: u64, as_of: AsOf) {
@@ -113,21 +113,21 @@
             return;
         }
         let news = Newest { row, as_of };
-        match self.ahead {
-            Some(ahead) if (ahead.row, ahead.as_of) >= (row, as_of) => {}
-            _ => self.ahead = Some(news),
+        match self.pending {
+            Some(pending) if (pending.row, pending.as_of) >= (row, as_of) => {}
+            _ => self.pending = Some(news),
         }
     }
 
     /// Takes in the answer of another box to a question that was asked at `asked_at`: that `row` was the newest
     /// `age` before its answer. When the answer came does not count: it may have lain here while the process
     /// stood still.
-    pub fn told(&mut self, row: u64, age: Duration, asked_at: Moment) {
+    pub fn apply_peer_answer(&mut self, row: u64, age: Duration, asked_at: Moment) {
         self.note(row, AsOf::before(asked_at, age));
     }
 
     /// Returns the row in force.
-    pub fn row(&self) -> u64 {
+    pub fn row_in_force(&self) -> u64 {
         self.in_force
     }
 
@@ -137,8 +137,8 @@
     }
 
     /// Returns whether keys may be answered at `now`. To be asked last thing before each send.
-    pub fn is_usable(&self, terms: KeyTerms, now: Moment) -> bool {
-        self.age(now).is_some_and(|age| age < terms.usable_for())
+    pub fn is_usable(&self, terms: RevocationTerms, now: Moment) -> bool {
+        self.age(now).is_some_and(|age| age < terms.max_age())
     }
 
     fn confirm(&mut self, as_of: AsOf) {
--- a/trackfront_core/tests/serving.rs
+++ b/trackfront_core/tests/serving.rs
@@ -16,8 +16,8 @@
     mod directory_listed;
     mod directory_random;
     mod forecast;
-    mod freshness;
     mod halls;
+    mod key_freshness;
     mod limited;
     mod load;
     mod notices;
--- a/trackfrontd/src/serving/config_freshness.rs
+++ b/trackfrontd/src/serving/config_freshness.rs
@@ -13,7 +13,7 @@
 use rand::seq::IndexedRandom;
 use tokio::time::sleep;
 use trackfront_adapters::serving_metrics::KindLabel;
-use trackfront_core::serving::freshness::{Freshness, KeyTerms};
+use trackfront_core::serving::key_freshness::{KeyFreshness, RevocationTerms};
 use trackfront_core::units::Moment;
 
 use super::feed_relay::{HallPeers, hall_peers};
@@ -48,7 +48,7 @@
 /// What a box knows of the age of its configuration, and its open questions.
 #[derive(Debug, Default)]
 pub struct ConfigFreshness {
-    freshness: Mutex<Freshness>,
+    freshness: Mutex<KeyFreshness>,
     questions: Mutex<Questions>,
 }
 
@@ -80,12 +80,12 @@
 impl ConfigFreshness {
     /// Notes that the configuration of a row is in force.
     pub fn set_in_force(&self, row: u64) {
-        self.freshness.lock().in_force(row);
+        self.freshness.lock().set_in_force(row);
     }
 
     /// Notes that `row` was the newest at `as_of` or later.
     pub fn confirm(&self, row: u64, as_of: Moment) {
-        self.freshness.lock().newest(row, as_of);
+        self.freshness.lock().confirm_newest(row, as_of);
     }
 
     /// Returns what this box can tell others at `now`.
@@ -94,17 +94,17 @@
         let age = freshness.age(now)?;
         // Rounded up: an age that is told too small would lengthen the life of a removed key.
         let age_ms = u32::try_from(age.as_millis() + 1).unwrap_or(u32::MAX);
-        Some(ConfirmedRow { row: freshness.row(), age_ms })
+        Some(ConfirmedRow { row: freshness.row_in_force(), age_ms })
     }
 
     /// Takes in what another box told that was asked at `asked_at`.
     pub fn merge_report(&self, told: ConfirmedRow, asked_at: Moment) {
         let age = Duration::from_millis(u64::from(told.age_ms));
-        self.freshness.lock().told(told.row, age, asked_at);
+        self.freshness.lock().apply_peer_answer(told.row, age, asked_at);
     }
 
     /// Returns whether keys may be answered at `now`.
-    pub fn is_usable(&self, terms: KeyTerms, now: Moment) -> bool {
+    pub fn is_usable(&self, terms: RevocationTerms, now: Moment) -> bool {
         self.freshness.lock().is_usable(terms, now)
     }
 
@@ -140,16 +140,21 @@
             continue;
         }
         let is_late =
-            node.config_freshness.age(node.now()).is_none_or(|age| age >= terms.wider_after());
-        let pause = if is_late { terms.ask_every() / HURRY } else { terms.ask_every() };
+            node.config_freshness.age(node.now()).is_none_or(|age| age >= terms.wider_query_age());
+        let pause = if is_late { terms.query_interval() / HURRY } else { terms.query_interval() };
         // Asked again in any case, at once after a suspension.
         let _ = waking.unless_suspended(sleep(pause.saturating_sub(node.now().since(began)))).await;
     }
 }
 
 /// Logs when the box can no longer tell whether keys are good, and when it can again.
-fn log_change(node: &ServingNode, terms: KeyTerms, age: Option<Duration>, was_usable: &mut bool) {
-    let is_usable = age.is_some_and(|age| age < terms.usable_for());
+fn log_change(
+    node: &ServingNode,
+    terms: RevocationTerms,
+    age: Option<Duration>,
+    was_usable: &mut bool,
+) {
+    let is_usable = age.is_some_and(|age| age < terms.max_age());
     node.set_dependency("current_keys", is_usable);
     if is_usable == *was_usable {
         return;
@@ -157,7 +162,7 @@
     *was_usable = is_usable;
     let age_ms = age.map_or(-1, |age| age.as_millis() as i64);
     let row = node.config_row_in_force();
-    let end_ms = terms.end.as_millis() as u64;
+    let end_ms = terms.bound.as_millis() as u64;
     match is_usable {
         true => log::info!(age_ms, row, end_ms; "keys known to be current"),
         false => log::warn!(age_ms, row, end_ms; "keys not known to be current"),
@@ -168,12 +173,12 @@
 async fn ask(
     node: &ServingNode,
     socket: &PeerSocket,
-    terms: KeyTerms,
+    terms: RevocationTerms,
     mates: &HallPeers,
     age: Option<Duration>,
 ) {
     let mut boxes: Vec<Ipv4Addr> = mates.reader.into_iter().collect();
-    if age.is_none_or(|age| age >= terms.wider_after()) {
+    if age.is_none_or(|age| age >= terms.wider_query_age()) {
         let reachable = node.peers.lock().reachable(node.now());
         boxes.extend(reachable.sample(&mut rand::rng(), MORE_BOXES));
     }
@@ -188,13 +193,13 @@
 /// are too old; and any box that no other answers. In an outage of the store the others would all ask in vain.
 fn must_ask_store(
     node: &ServingNode,
-    terms: KeyTerms,
+    terms: RevocationTerms,
     mates: &HallPeers,
     age: Option<Duration>,
 ) -> bool {
-    let is_late = age.is_none_or(|age| age >= terms.store_after());
+    let is_late = age.is_none_or(|age| age >= terms.store_query_age());
     let answered_at = node.config_freshness.questions.lock().answered_at;
-    let is_alone = answered_at.is_none_or(|at| node.now().since(at) >= terms.wider_after());
+    let is_alone = answered_at.is_none_or(|at| node.now().since(at) >= terms.wider_query_age());
     mates.is_reader() || (is_late && (mates.rank == 1 || is_alone))
 }
 
--- a/trackfrontd/src/serving/pipeline/key.rs
+++ b/trackfrontd/src/serving/pipeline/key.rs
@@ -46,7 +46,7 @@
 fn not_current(node: &ServingNode) -> Refusal {
     let terms = node.settings.load().promises.keys();
     let silent = node.config_freshness.age(node.now()).zip(terms);
-    let silent = silent.map(|(age, terms)| age.saturating_sub(terms.usable_for()));
+    let silent = silent.map(|(age, terms)| age.saturating_sub(terms.max_age()));
     let (least, most) = NOT_CURRENT_RETRY_AFTER;
     Refusal::NotCurrent { retry_after: silent.unwrap_or(STARTING_RETRY_AFTER).clamp(least, most) }
 }
--- a/trackfrontd/src/serving/settings.rs
+++ b/trackfrontd/src/serving/settings.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 use trackfront_core::ids::{HallName, RegionName};
 use trackfront_core::serving::cold::ColdStartTolerance;
-use trackfront_core::serving::freshness::KeyTerms;
+use trackfront_core::serving::key_freshness::RevocationTerms;
 use trackfront_core::serving::orders::LoadTerms;
 use trackfront_core::serving::retry_budget::BudgetTerms;
 
@@ -204,9 +204,9 @@
     }
 
     /// Returns how long a key that was taken away may still be used; `None` if there is no bound.
-    pub fn keys(&self) -> Option<KeyTerms> {
-        let end = Duration::from_secs_f64(self.key_end_ms / 1_000.0);
-        (!end.is_zero()).then_some(KeyTerms { end })
+    pub fn keys(&self) -> Option<RevocationTerms> {
+        let bound = Duration::from_secs_f64(self.key_end_ms / 1_000.0);
+        (!bound.is_zero()).then_some(RevocationTerms { bound })
     }
 
     /// Returns how far what a cold server bears may be passed.
