--- a/trackfront_core/src/serving/orders.rs
+++ b/trackfront_core/src/serving/orders.rs
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
     /// It is under way.
-    Taken,
+    Accepted,
     /// It was done already.
     AlreadyDone,
     /// Another is under way, or the number of orders differs.
@@ -72,20 +72,20 @@
     /// Nothing was sent.
     NotSent,
     /// No answer came: it may be carried out at any later time while its condition holds.
-    Unknown,
+    NoAnswer,
 }
 
 impl OrderAnswer {
     /// Returns the name used in logs.
     pub fn name(&self) -> &'static str {
         match self {
-            OrderAnswer::Taken => "taken",
+            OrderAnswer::Accepted => "taken",
             OrderAnswer::AlreadyDone => "already_done",
             OrderAnswer::Conflict => "conflict",
             OrderAnswer::Stale => "stale",
             OrderAnswer::Refused(_) => "refused",
             OrderAnswer::NotSent => "not_sent",
-            OrderAnswer::Unknown => "unknown",
+            OrderAnswer::NoAnswer => "unknown",
         }
     }
 }
@@ -115,12 +115,12 @@
 
 impl EngineReport {
     /// Returns whether another run than that of `entry` reports: its count of orders began anew.
-    pub fn is_of_other_run(&self, entry: &ServerEntry) -> bool {
+    pub fn is_of_other_incarnation(&self, entry: &ServerEntry) -> bool {
         self.started.zip(entry.started).is_some_and(|(own, other)| own != other)
     }
 
     /// Returns whether a load of `model` takes nothing from the weight store.
-    pub fn has_at_hand(&self, model: &ModelName) -> bool {
+    pub fn has_local_copy(&self, model: &ModelName) -> bool {
         self.in_memory.contains(model) || self.on_disk.contains(model)
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Returns how many adapters there are, those on their way included.
-    pub fn adapters(&self) -> usize {
+    pub fn adapter_count(&self) -> usize {
         let loaded: usize = self.models.values().map(|resident| resident.adapters.len()).sum();
         loaded + self.pending.len()
     }
@@ -148,7 +148,7 @@
 
 /// Why an order is not given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum OrderFault {
+pub enum OrderError {
     /// An order is under way; wait for it.
     #[error("an order is under way; wait for its end")]
     Busy,
@@ -163,21 +163,21 @@
     NoModel,
     /// The configuration does not have it.
     #[error("the configuration does not have it; add it there")]
-    Unknown,
+    NotConfigured,
     /// It is so already.
     #[error("it is so already")]
-    Needless,
+    NoEffect,
 }
 
 /// Checks an order against what the engine reports at the number that the order will name.
-pub fn check(
+pub fn check_order(
     operation: Operation,
     item: &ModelRef,
     report: &EngineReport,
     spec: &EngineSpec,
-) -> Result<(), OrderFault> {
+) -> Result<(), OrderError> {
     if report.busy {
-        return Err(OrderFault::Busy);
+        return Err(OrderError::Busy);
     }
     match operation {
         Operation::Load => check_load(item, report, spec),
@@ -185,34 +185,34 @@
     }
 }
 
-fn check_load(item: &ModelRef, report: &EngineReport, spec: &EngineSpec) -> Result<(), OrderFault> {
-    let model = spec.models.get(&item.model).ok_or(OrderFault::Unknown)?;
+fn check_load(item: &ModelRef, report: &EngineReport, spec: &EngineSpec) -> Result<(), OrderError> {
+    let model = spec.models.get(&item.model).ok_or(OrderError::NotConfigured)?;
     let resident = report.models.get(&item.model);
     let needed_mb = match &item.adapter {
-        None if resident.is_some() => return Err(OrderFault::Needless),
+        None if resident.is_some() => return Err(OrderError::NoEffect),
         None => model.weight_mb,
         Some(adapter) => {
-            let resident = resident.ok_or(OrderFault::NoModel)?;
+            let resident = resident.ok_or(OrderError::NoModel)?;
             let on_its_way = report.pending.contains(&(item.model.clone(), adapter.clone()));
             if resident.adapters.contains(adapter) || on_its_way {
-                return Err(OrderFault::Needless);
+                return Err(OrderError::NoEffect);
             }
-            if report.adapters() >= spec.adapter_slots as usize {
-                return Err(OrderFault::NoSlot);
+            if report.adapter_count() >= spec.adapter_slots as usize {
+                return Err(OrderError::NoSlot);
             }
             model.adapter_mb
         }
     };
     match report.used_mb(spec) + needed_mb <= spec.memory_mb {
         true => Ok(()),
-        false => Err(OrderFault::NoRoom),
+        false => Err(OrderError::NoRoom),
     }
 }
 
-fn check_unload(item: &ModelRef, report: &EngineReport) -> Result<(), OrderFault> {
-    let resident = report.models.get(&item.model).ok_or(OrderFault::Needless)?;
+fn check_unload(item: &ModelRef, report: &EngineReport) -> Result<(), OrderError> {
+    let resident = report.models.get(&item.model).ok_or(OrderError::NoEffect)?;
     match &item.adapter {
-        Some(adapter) if !resident.adapters.contains(adapter) => Err(OrderFault::Needless),
+        Some(adapter) if !resident.adapters.contains(adapter) => Err(OrderError::NoEffect),
         _ => Ok(()),
     }
 }
@@ -223,7 +223,7 @@
 /// count in full.
 #[derive(Debug)]
 pub struct LoadPacer {
-    terms: LoadTerms,
+    terms: LoadRateTerms,
     allowance: f64,
     at: Moment,
 }
@@ -231,14 +231,14 @@
 /// How many loads from the weight store may begin within any window: the rate times the window's
 /// length times the overage.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LoadTerms {
+pub struct LoadRateTerms {
     /// The length of a window.
     pub window: Duration,
     /// How many times the rate may be reached within a window, from 1.
     pub overage: f64,
 }
 
-impl Default for LoadTerms {
+impl Default for LoadRateTerms {
     fn default() -> Self {
         Self { window: Duration::from_secs(5), overage: 1.0 }
     }
@@ -246,14 +246,14 @@
 
 impl LoadPacer {
     /// Makes a pacer without allowance.
-    pub fn new(terms: LoadTerms, now: Moment) -> Self {
+    pub fn new(terms: LoadRateTerms, now: Moment) -> Self {
         Self { terms, allowance: 0.0, at: now }
     }
 
     /// Returns how many loads may begin now.
     pub fn available(&mut self, loads_per_s: f64, now: Moment) -> usize {
         let gained = now.since(self.at).as_secs_f64() * loads_per_s;
-        let LoadTerms { window, overage } = self.terms;
+        let LoadRateTerms { window, overage } = self.terms;
         let over = (overage - 1.0).max(0.0) * loads_per_s * window.as_secs_f64();
         let burst = PACER_BURST + over * OVERAGE_PART;
         self.allowance = (self.allowance + gained).min(burst);
@@ -262,12 +262,12 @@
     }
 
     /// Returns whether a load may begin now.
-    pub fn ready(&mut self, loads_per_s: f64, now: Moment) -> bool {
+    pub fn may_load(&mut self, loads_per_s: f64, now: Moment) -> bool {
         self.available(loads_per_s, now) > 0
     }
 
     /// Counts a load that may have begun.
-    pub fn began(&mut self) {
+    pub fn record_load(&mut self) {
         self.allowance -= 1.0;
     }
 }
--- a/trackfront_core/src/serving/planner/mod.rs
+++ b/trackfront_core/src/serving/planner/mod.rs
@@ -59,7 +59,7 @@
     }
 
     /// Returns whether a load of `model` takes nothing from the weight store.
-    fn has_at_hand(&self, model: &ModelName) -> bool {
+    fn has_local_copy(&self, model: &ModelName) -> bool {
         self.in_memory.contains(model) || self.on_disk.contains(model)
     }
 
--- a/trackfront_core/src/serving/planner/models.rs
+++ b/trackfront_core/src/serving/planner/models.rs
@@ -233,7 +233,7 @@
             Some(victim) => (Operation::Unload, victim, "it gives way to another model"),
         };
         self.open.remove(&index);
-        if !self.engine(index).has_at_hand(self.name(model)) {
+        if !self.engine(index).has_local_copy(self.name(model)) {
             self.store_loads -= 1;
         }
         if let Some(victim) = victim {
@@ -297,7 +297,7 @@
             let model = *model;
             // Until it is known to have been kept on the way out, a model that is nowhere else stays.
             let left = match self.serving_elsewhere(model, index) {
-                0 if !self.engine(index).has_at_hand(self.name(model)) => return None,
+                0 if !self.engine(index).has_local_copy(self.name(model)) => return None,
                 0 => self.presence[model],
                 others => self.level(model, others),
             };
--- a/trackfront_core/tests/serving/orders_random.rs
+++ b/trackfront_core/tests/serving/orders_random.rs
@@ -14,7 +14,9 @@
 };
 use trackfront_core::serving::config::EngineSpec;
 use trackfront_core::serving::directory::ResidentModel;
-use trackfront_core::serving::orders::{EngineReport, LoadPacer, LoadTerms, Operation, check};
+use trackfront_core::serving::orders::{
+    EngineReport, LoadPacer, LoadRateTerms, Operation, check_order,
+};
 use trackfront_core::units::Moment;
 
 use super::support::{at, item, spec};
@@ -145,7 +147,7 @@
             name: NodeId::from(format!("10.0.0.{index}")),
             machine: LeaseHolder::new(TERMS.ttl).state_machine(),
             seen: None,
-            pacer: LoadPacer::new(LoadTerms::default(), at(0)),
+            pacer: LoadPacer::new(LoadRateTerms::default(), at(0)),
             frozen_until: 0,
             holds: false,
             word: None,
@@ -203,7 +205,7 @@
                         ends_at: sent_at + TERMS.ttl,
                     });
                     if !self.holds {
-                        self.pacer = LoadPacer::new(LoadTerms::default(), at(now));
+                        self.pacer = LoadPacer::new(LoadRateTerms::default(), at(now));
                     }
                     self.holds = true;
                 }
@@ -226,14 +228,14 @@
         let model = MODELS[rng.random_range(0..MODELS.len())];
         let wanted = item(model, None);
         let operation = if rng.random_bool(0.6) { Operation::Load } else { Operation::Unload };
-        if check(operation, &wanted, &report, spec).is_err() {
+        if check_order(operation, &wanted, &report, spec).is_err() {
             return;
         }
         if operation == Operation::Load {
-            if !self.pacer.ready(spec.loads_per_s, at(now)) {
+            if !self.pacer.may_load(spec.loads_per_s, at(now)) {
                 return;
             }
-            self.pacer.began();
+            self.pacer.record_load();
         }
         engine.ordered(index, fence, now);
         let late = rng.random_bool(0.35);
--- a/trackfrontd/src/serving/notices/mod.rs
+++ b/trackfrontd/src/serving/notices/mod.rs
@@ -36,11 +36,11 @@
     source: NoticeSource,
     by: &str,
 ) {
-    let is_of_other_run = match &head.instance {
+    let is_of_other_incarnation = match &head.instance {
         Some(key) => *key != server.entry.key,
         None => head.misdirected,
     };
-    if is_of_other_run {
+    if is_of_other_incarnation {
         return;
     }
     let (id, now) = (&server.entry.id, node.now());
--- a/trackfrontd/src/serving/order_task.rs
+++ b/trackfrontd/src/serving/order_task.rs
@@ -14,7 +14,7 @@
 use trackfront_core::serving::directory::{KnownServer, Residents};
 use trackfront_core::serving::notices::NoticeSource;
 use trackfront_core::serving::orders::{
-    EngineOrder, EngineReport, ORDER_TIMEOUT, Operation, OrderAnswer, check,
+    EngineOrder, EngineReport, ORDER_TIMEOUT, Operation, OrderAnswer, check_order,
 };
 use trackfront_core::serving::permits::Permit;
 use trackfront_core::serving::planner::Proposal;
@@ -174,14 +174,15 @@
         let Some(mut report) = self.read_report().await else {
             return accepted;
         };
-        if report.is_of_other_run(&self.server.entry) {
+        if report.is_of_other_incarnation(&self.server.entry) {
             for proposal in &self.proposals {
                 self.log(proposal, "order not given", report.sequence, OTHER_INCARNATION);
             }
             return accepted;
         }
         for proposal in &self.proposals {
-            if let Err(fault) = check(proposal.operation, &proposal.item, &report, &self.spec) {
+            if let Err(fault) = check_order(proposal.operation, &proposal.item, &report, &self.spec)
+            {
                 self.log(proposal, "order not given", report.sequence, &fault.to_string());
                 break;
             }
@@ -192,11 +193,11 @@
             }
             let answer = self.send(proposal, &report).await;
             self.log(proposal, "order given", report.sequence, answer.name());
-            if answer == OrderAnswer::Unknown {
+            if answer == OrderAnswer::NoAnswer {
                 self.tracker.lock().record_unanswered(&self.server.entry, self.node.now());
             }
             self.node.metrics.orders.get_or_create(&KindLabel { kind: answer.name() }).inc();
-            if !matches!(answer, OrderAnswer::Taken | OrderAnswer::AlreadyDone) {
+            if !matches!(answer, OrderAnswer::Accepted | OrderAnswer::AlreadyDone) {
                 break;
             }
             let load_time = self.load_time(proposal, &report);
@@ -207,7 +208,7 @@
             accepted.proposals.push(proposal);
             // The adapter is unloaded once the requests that use it have ended; nothing can take
             // its place before.
-            let waits = proposal.operation == Operation::Unload && answer == OrderAnswer::Taken;
+            let waits = proposal.operation == Operation::Unload && answer == OrderAnswer::Accepted;
             if waits && proposal.item.adapter.is_some() {
                 break;
             }
@@ -234,14 +235,14 @@
         let Proposal { operation, item, .. } = proposal;
         let from_store = *operation == Operation::Load
             && item.adapter.is_none()
-            && !report.has_at_hand(&item.model);
+            && !report.has_local_copy(&item.model);
         if !from_store {
             return true;
         }
         let mut tracker = self.tracker.lock();
-        let ready = tracker.pacer.ready(self.spec.loads_per_s, self.node.now());
+        let ready = tracker.pacer.may_load(self.spec.loads_per_s, self.node.now());
         if ready {
-            tracker.pacer.began();
+            tracker.pacer.record_load();
         }
         if let Some(engine_orders) = tracker.engines.get_mut(self.id()) {
             engine_orders.awaits_load = false;
@@ -281,7 +282,7 @@
                 | UpstreamError::ConnectionRefused(_)
                 | UpstreamError::Withheld,
             )) => OrderAnswer::NotSent,
-            Ok(Err(UpstreamError::Lost(_))) | Err(_) => OrderAnswer::Unknown,
+            Ok(Err(UpstreamError::Lost(_))) | Err(_) => OrderAnswer::NoAnswer,
         }
     }
 
@@ -316,7 +317,7 @@
             // What an engine with a limit holds is read from its row, though later: each poll would
             // take the place of a client's request.
             let report = if self.limit().is_none() { self.read_report().await } else { None };
-            if let Some(other) = report.as_ref().filter(|it| it.is_of_other_run(&self.server.entry))
+            if let Some(other) = report.as_ref().filter(|it| it.is_of_other_incarnation(&self.server.entry))
             {
                 for proposal in &open {
                     self.log(proposal, "order undone", other.sequence, OTHER_INCARNATION);
--- a/trackfrontd/src/serving/order_tracker.rs
+++ b/trackfrontd/src/serving/order_tracker.rs
@@ -73,7 +73,7 @@
     let report = engine_orders
         .report
         .as_ref()
-        .filter(|(report, _)| !report.is_of_other_run(entry))
+        .filter(|(report, _)| !report.is_of_other_incarnation(entry))
         .filter(|(report, at)| report.sequence > entry.sequence || *at > server.learned_at);
     let (models, in_memory, on_disk, pending) = match report {
         Some((report, _)) => (
--- a/trackfrontd/src/serving/settings.rs
+++ b/trackfrontd/src/serving/settings.rs
@@ -12,7 +12,7 @@
 use trackfront_core::ids::{HallName, RegionName};
 use trackfront_core::serving::cold::ColdStartTolerance;
 use trackfront_core::serving::key_freshness::RevocationTerms;
-use trackfront_core::serving::orders::LoadTerms;
+use trackfront_core::serving::orders::LoadRateTerms;
 use trackfront_core::serving::retry_budget::BudgetTerms;
 
 /// Why a settings file is refused.
@@ -198,9 +198,9 @@
     }
 
     /// Returns how many loads from the weight store may begin.
-    pub fn loads(&self) -> LoadTerms {
+    pub fn loads(&self) -> LoadRateTerms {
         let window = Duration::from_secs_f64(self.load_window_s);
-        LoadTerms { window, overage: self.load_overage }
+        LoadRateTerms { window, overage: self.load_overage }
     }
 
     /// Returns how long a key that was taken away may still be used; `None` if there is no bound.
--- a/trackfrontd/tests/order_tracker.rs
+++ b/trackfrontd/tests/order_tracker.rs
@@ -6,7 +6,7 @@
 use trackfront_core::serving::directory::{
     Directory, KnownServer, ResidentModel, Residents, ServerChange, ServerEntry, ServerState,
 };
-use trackfront_core::serving::orders::{EngineReport, LoadPacer, LoadTerms};
+use trackfront_core::serving::orders::{EngineReport, LoadPacer, LoadRateTerms};
 use trackfront_core::units::Moment;
 use trackfrontd::serving::order_tracker::{EngineOrders, OrderTracker, view};
 
@@ -59,7 +59,7 @@
 
 #[test]
 fn an_engine_that_may_get_orders_of_its_earlier_run_gets_no_others() {
-    let terms = LoadTerms { window: Duration::from_secs(5), overage: 1.1 };
+    let terms = LoadRateTerms { window: Duration::from_secs(5), overage: 1.1 };
     let mut tracker = OrderTracker::new(LoadPacer::new(terms, at(0)));
     let (first, second) = (run(100).entry, run(200).entry);
     assert!(!tracker.may_receive_stale_order(&second, at(1_000)));
