--- a/trackfront_core/src/serving/config.rs
+++ b/trackfront_core/src/serving/config.rs
@@ -206,29 +206,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientLimits {
     /// The largest head, in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// The largest body, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// How long a head may take.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// How long a connection may stay idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Whose a request is.
 #[derive(Clone, Debug, PartialEq)]
-pub enum KeyHolder {
+pub enum Authentication {
     /// No account's: it needs no key and shows none that is known.
-    Nobody,
+    Anonymous,
     /// That of the account that has the key.
     Account(Arc<ClientAccount>),
     /// Nobody knows: it needs a key and shows none, or one that no account has.
-    Unknown,
+    UnknownKey,
 }
 
 /// A whole configuration. One that another box passed on is checked like one that was stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(try_from = "ConfigParts", into = "ConfigParts")]
+#[serde(try_from = "UncheckedConfig", into = "UncheckedConfig")]
 pub struct ServingConfig {
     /// The number of the configuration; it only grows.
     pub version: u64,
@@ -244,7 +244,7 @@
 
 /// What a configuration is made of, before it is checked and indexed.
 #[derive(Serialize, Deserialize)]
-struct ConfigParts {
+struct UncheckedConfig {
     version: u64,
     routes: Vec<Route>,
     services: BTreeMap<ServiceName, ServiceSpec>,
@@ -252,20 +252,20 @@
     accounts: Option<Accounts>,
 }
 
-impl TryFrom<ConfigParts> for ServingConfig {
+impl TryFrom<UncheckedConfig> for ServingConfig {
     type Error = ConfigError;
 
-    fn try_from(parts: ConfigParts) -> Result<Self, ConfigError> {
+    fn try_from(parts: UncheckedConfig) -> Result<Self, ConfigError> {
         let config = ServingConfig::new(parts.version, parts.routes, parts.services, parts.limits)?;
         Ok(config.with_accounts(parts.accounts))
     }
 }
 
-impl From<ServingConfig> for ConfigParts {
+impl From<ServingConfig> for UncheckedConfig {
     fn from(config: ServingConfig) -> Self {
         let routes = config.routes().map(|route| Route::clone(route)).collect();
         let ServingConfig { version, services, limits, accounts, .. } = config;
-        ConfigParts { version, routes, services, limits, accounts }
+        UncheckedConfig { version, routes, services, limits, accounts }
     }
 }
 
@@ -301,14 +301,14 @@
     }
 
     /// Finds out whose request it is that shows `key` on `route`.
-    pub fn holder(&self, route: &Route, key: Option<&KeyHash>) -> KeyHolder {
+    pub fn authenticate(&self, route: &Route, key: Option<&KeyHash>) -> Authentication {
         let Some(accounts) = &self.accounts else {
-            return KeyHolder::Nobody;
+            return Authentication::Anonymous;
         };
         match key.and_then(|key| accounts.by_key(key)) {
-            Some(account) => KeyHolder::Account(account.clone()),
-            None if route.public => KeyHolder::Nobody,
-            None => KeyHolder::Unknown,
+            Some(account) => Authentication::Account(account.clone()),
+            None if route.public => Authentication::Anonymous,
+            None => Authentication::UnknownKey,
         }
     }
 
--- a/trackfront_core/tests/serving/accounts.rs
+++ b/trackfront_core/tests/serving/accounts.rs
@@ -1,7 +1,7 @@
 use trackfront_core::accounts::{
     AccountError, AccountLimit, Accounts, ClientAccount, KeyHash, LimitUnit,
 };
-use trackfront_core::serving::config::{KeyHolder, ServingConfig};
+use trackfront_core::serving::config::{Authentication, ServingConfig};
 
 use super::support::{limits, route, services};
 
@@ -58,18 +58,22 @@
     let config = ServingConfig::new(1, routes, services(&["s"]), limits()).expect("valid");
     let key = KeyHash::of(b"k1");
     let holder = |config: &ServingConfig, path: &str, key: Option<&KeyHash>| {
-        config.holder(config.route("h", path).expect("a route"), key)
+        config.authenticate(config.route("h", path).expect("a route"), key)
     };
-    assert_eq!(holder(&config, "/closed/x", None), KeyHolder::Nobody, "there are no accounts");
+    assert_eq!(
+        holder(&config, "/closed/x", None),
+        Authentication::Anonymous,
+        "there are no accounts"
+    );
     let accounts = Accounts::new(vec![account("a", &["k1"])]).expect("valid");
     let config = config.with_accounts(Some(accounts));
-    assert_eq!(holder(&config, "/closed/x", None), KeyHolder::Unknown);
-    assert_eq!(holder(&config, "/closed/x", Some(&KeyHash::of(b"k2"))), KeyHolder::Unknown);
-    assert!(matches!(holder(&config, "/closed/x", Some(&key)), KeyHolder::Account(_)));
-    assert_eq!(holder(&config, "/open/x", None), KeyHolder::Nobody);
-    assert!(matches!(holder(&config, "/open/x", Some(&key)), KeyHolder::Account(_)));
+    assert_eq!(holder(&config, "/closed/x", None), Authentication::UnknownKey);
+    assert_eq!(holder(&config, "/closed/x", Some(&KeyHash::of(b"k2"))), Authentication::UnknownKey);
+    assert!(matches!(holder(&config, "/closed/x", Some(&key)), Authentication::Account(_)));
+    assert_eq!(holder(&config, "/open/x", None), Authentication::Anonymous);
+    assert!(matches!(holder(&config, "/open/x", Some(&key)), Authentication::Account(_)));
     let nobody = config.with_accounts(Some(Accounts::default()));
-    assert_eq!(holder(&nobody, "/closed/x", Some(&key)), KeyHolder::Unknown);
+    assert_eq!(holder(&nobody, "/closed/x", Some(&key)), Authentication::UnknownKey);
 }
 
 #[test]
--- a/trackfront_core/tests/serving/support.rs
+++ b/trackfront_core/tests/serving/support.rs
@@ -140,9 +140,9 @@
 
 pub fn limits() -> ClientLimits {
     ClientLimits {
-        head_bytes: 16_384,
-        body_bytes: 1_000_000,
-        head_time: Duration::from_secs(3),
-        idle_time: Duration::from_secs(15),
+        max_head_bytes: 16_384,
+        max_body_bytes: 1_000_000,
+        head_timeout: Duration::from_secs(3),
+        idle_timeout: Duration::from_secs(15),
     }
 }
--- a/trackfrontd/src/serving/listeners.rs
+++ b/trackfrontd/src/serving/listeners.rs
@@ -53,10 +53,10 @@
     match node.config.load().as_ref().map(|config| config.limits) {
         None => base,
         Some(limits) => ServerLimits {
-            head_bytes: limits.head_bytes,
+            head_bytes: limits.max_head_bytes,
             // A single timeout bounds both a slow head and an idle connection: the longer of the
             // two.
-            head_timeout: limits.idle_time.max(limits.head_time),
+            head_timeout: limits.idle_timeout.max(limits.head_timeout),
             ..base
         },
     }
--- a/trackfrontd/src/serving/pipeline/key.rs
+++ b/trackfrontd/src/serving/pipeline/key.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use trackfront_core::accounts::ClientAccount;
-use trackfront_core::serving::config::{KeyHolder, Route, ServingConfig};
+use trackfront_core::serving::config::{Authentication, Route, ServingConfig};
 use trackfront_core::serving::request::{Refusal, RequestInfo};
 use trackfront_core::units::Moment;
 
@@ -27,18 +27,20 @@
     let config = node.config.load();
     let config = config.as_ref().ok_or(Refusal::NotReady { retry_after: STARTING_RETRY_AFTER })?;
     match holder(config, route, info) {
-        KeyHolder::Nobody => Ok(None),
-        KeyHolder::Account(_) | KeyHolder::Unknown if !knows_keys => match route.public {
-            true => Ok(None),
-            false => Err(not_current(node)),
-        },
-        KeyHolder::Account(account) => Ok(Some(account)),
-        KeyHolder::Unknown => Err(Refusal::UnknownKey),
+        Authentication::Anonymous => Ok(None),
+        Authentication::Account(_) | Authentication::UnknownKey if !knows_keys => {
+            match route.public {
+                true => Ok(None),
+                false => Err(not_current(node)),
+            }
+        }
+        Authentication::Account(account) => Ok(Some(account)),
+        Authentication::UnknownKey => Err(Refusal::UnknownKey),
     }
 }
 
-fn holder(config: &ServingConfig, route: &Route, info: &RequestInfo) -> KeyHolder {
-    config.holder(route, info.key.as_ref())
+fn holder(config: &ServingConfig, route: &Route, info: &RequestInfo) -> Authentication {
+    config.authenticate(route, info.key.as_ref())
 }
 
 /// Returns the refusal for a request whose key may have been revoked. The best estimate of how much
@@ -63,7 +65,7 @@
         }
         let config = self.node.config.load();
         let holder = config.as_ref().map(|config| holder(config, &self.route, &self.info));
-        matches!(holder, Some(KeyHolder::Account(holder)) if holder.name == account.name)
+        matches!(holder, Some(Authentication::Account(holder)) if holder.name == account.name)
     }
 
     /// Refuses a request whose key is no longer known to be valid.
--- a/trackfrontd/src/serving/pipeline/mod.rs
+++ b/trackfrontd/src/serving/pipeline/mod.rs
@@ -160,7 +160,7 @@
     let timeout = arrived + route.timeout;
     let answer_by = deadline.map_or(timeout, |deadline| deadline.min(timeout)) - ANSWER_MARGIN;
     let time = answer_by.saturating_duration_since(arrived);
-    let limit = config.limits.body_bytes;
+    let limit = config.limits.max_body_bytes;
     let body = read_body(body, limit, time).await.map_err(|error| match error {
         ReadBodyError::TooLarge => Refusal::TooLarge { limit },
         ReadBodyError::TooSlow => Refusal::TooSlow,
