--- a/trackfront_core/src/serving/request.rs
+++ b/trackfront_core/src/serving/request.rs
@@ -54,7 +54,7 @@
     /// The tokens that the answer is expected to have.
     pub output_tokens: u32,
     /// The tokens of the prompt and the most tokens of the answer, together; `None` if it tells neither.
-    pub counted_tokens: Option<u64>,
+    pub max_total_tokens: Option<u64>,
     /// The parts of the prompt, in order.
     pub prompt: Vec<PromptPart>,
     /// The hash of the key that it shows.
@@ -78,7 +78,7 @@
 pub enum Refusal {
     /// The request itself is wrong.
     #[error("the request cannot be read: {0}; correct it and send it again")]
-    Bad(String),
+    BadRequest(String),
     /// The body is larger than the configuration allows.
     #[error("the body is over {limit} bytes; send a smaller one")]
     TooLarge {
@@ -131,13 +131,13 @@
     #[error(
         "it crashed {servers} servers that ran it and is held off; ask the operators to let it go"
     )]
-    HeldOff {
+    Quarantined {
         /// How many servers.
         servers: usize,
     },
     /// A server failed; the request may have run.
     #[error("the server failed: {0}; the request may have run")]
-    Failed(&'static str),
+    ServerFailed(&'static str),
     /// The time ran out; the request may have run.
     #[error("the time ran out; the request may have run")]
     TimedOut,
@@ -147,7 +147,7 @@
     /// Returns the name used in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
-            Refusal::Bad(_) => "bad_request",
+            Refusal::BadRequest(_) => "bad_request",
             Refusal::TooLarge { .. } => "too_large",
             Refusal::TooSlow => "too_slow",
             Refusal::NoRoute => "no_route",
@@ -156,15 +156,15 @@
             Refusal::LimitReached { .. } => "limit_reached",
             Refusal::NotReady { .. } => "not_ready",
             Refusal::NoServer { .. } => "no_server",
-            Refusal::HeldOff { .. } => "held_off",
-            Refusal::Failed(_) => "failed",
+            Refusal::Quarantined { .. } => "held_off",
+            Refusal::ServerFailed(_) => "failed",
             Refusal::TimedOut => "timed_out",
         }
     }
 
     /// Returns whether the answer promises that the request has not run and never will. What is held off ran before:
     /// that promise would ask it back.
-    pub fn promises_not_run(&self) -> bool {
-        !matches!(self, Refusal::HeldOff { .. } | Refusal::Failed(_) | Refusal::TimedOut)
+    pub fn guarantees_not_run(&self) -> bool {
+        !matches!(self, Refusal::Quarantined { .. } | Refusal::ServerFailed(_) | Refusal::TimedOut)
     }
 }
--- a/trackfront_core/tests/serving/support.rs
+++ b/trackfront_core/tests/serving/support.rs
@@ -76,7 +76,7 @@
         model,
         prompt_tokens,
         output_tokens: 10,
-        counted_tokens: None,
+        max_total_tokens: None,
         key: None,
         prompt: Vec::new(),
     }
--- a/trackfrontd/src/serving/pipeline/hold.rs
+++ b/trackfrontd/src/serving/pipeline/hold.rs
@@ -75,7 +75,7 @@
                     self.finish_hold(held_for, began, false);
                     let retry_after = self.retry_after_for(no_choice);
                     return Err(match attempts.may_have_run {
-                        Some(cause) => Refusal::Failed(cause),
+                        Some(cause) => Refusal::ServerFailed(cause),
                         None => Refusal::NoServer { cause: no_choice.name(), retry_after },
                     });
                 }
--- a/trackfrontd/src/serving/pipeline/key.rs
+++ b/trackfrontd/src/serving/pipeline/key.rs
@@ -75,7 +75,7 @@
             return None;
         }
         Some(match attempts.may_have_run {
-            Some(cause) => Refusal::Failed(cause),
+            Some(cause) => Refusal::ServerFailed(cause),
             None if self.node.has_current_keys(now) => Refusal::UnknownKey,
             None => not_current(&self.node),
         })
--- a/trackfrontd/src/serving/pipeline/limit.rs
+++ b/trackfrontd/src/serving/pipeline/limit.rs
@@ -63,7 +63,7 @@
         let began = self.node.now();
         let units = self.request_units().await;
         let refused = |refusal| match attempts.may_have_run {
-            Some(cause) => Refusal::Failed(cause),
+            Some(cause) => Refusal::ServerFailed(cause),
             None => refusal,
         };
         let units = units.map_err(refused)?;
@@ -81,7 +81,7 @@
         let Some(limit) = &account.limit else {
             return Ok(None);
         };
-        let units = limit.units(self.info.counted_tokens).min(f64::from(u32::MAX)) as u32;
+        let units = limit.units(self.info.max_total_tokens).min(f64::from(u32::MAX)) as u32;
         let id = AccountId::of(&account.name);
         let max_wait =
             self.answer_by.saturating_duration_since(self.request_time()).min(MAX_UNITS_WAIT);
--- a/trackfrontd/src/serving/pipeline/mod.rs
+++ b/trackfrontd/src/serving/pipeline/mod.rs
@@ -164,7 +164,7 @@
     let body = read_body(body, limit, time).await.map_err(|error| match error {
         ReadBodyError::TooLarge => Refusal::TooLarge { limit },
         ReadBodyError::TooSlow => Refusal::TooSlow,
-        ReadBodyError::Broken(cause) => Refusal::Bad(cause),
+        ReadBodyError::Broken(cause) => Refusal::BadRequest(cause),
     })?;
     let since_first_try = info.deadline.map_or(Duration::ZERO, |left| {
         node.refusal_retries.lock().record(&route.name, left, node.now())
@@ -399,15 +399,15 @@
             return None;
         }
         Some(match attempts.may_have_run {
-            Some(cause) => Refusal::Failed(cause),
-            None => Refusal::HeldOff { servers },
+            Some(cause) => Refusal::ServerFailed(cause),
+            None => Refusal::Quarantined { servers },
         })
     }
 
     fn give_up(&self, attempts: &Attempts, cause: &'static str) -> Refusal {
         match attempts.may_have_run {
             Some(_) if self.request_time() >= self.answer_by => Refusal::TimedOut,
-            Some(cause) => Refusal::Failed(cause),
+            Some(cause) => Refusal::ServerFailed(cause),
             None => {
                 let retry_after = self.retry_after_wait(self.unavailable_for());
                 Refusal::NoServer { cause, retry_after }
