--- a/trackfront_core/src/serving/demand.rs
+++ b/trackfront_core/src/serving/demand.rs
@@ -101,13 +101,13 @@
 }
 
 /// What peers told: their rates and when.
-type Told = HashMap<u32, (Vec<(ModelRef, Rate)>, Moment)>;
+type PeerRates = HashMap<u32, (Vec<(ModelRef, Rate)>, Moment)>;
 
 /// Measures demand.
 #[derive(Debug, Default)]
 pub struct DemandMeter {
     own: HashMap<ModelRef, Means>,
-    peers: Told,
+    peers: PeerRates,
 }
 
 impl DemandMeter {
@@ -126,7 +126,7 @@
     }
 
     /// Notes what a peer told.
-    pub fn told(&mut self, peer: u32, rates: Vec<(ModelRef, Rate)>, now: Moment) {
+    pub fn apply_report(&mut self, peer: u32, rates: Vec<(ModelRef, Rate)>, now: Moment) {
         self.peers.insert(peer, (rates, now));
     }
 
--- a/trackfront_core/src/serving/planner/inventory.rs
+++ b/trackfront_core/src/serving/planner/inventory.rs
@@ -21,7 +21,7 @@
     /// For each model the engines that hold it.
     pub holders: Vec<Vec<usize>>,
     /// For each model the engines that keep its weights in memory or on disk.
-    pub at_hand: Vec<Vec<usize>>,
+    pub local_copies: Vec<Vec<usize>>,
     /// For each engine the memory that is free for models, in MB. Places for adapters are kept free, so
     /// that one never has to wait for a model's going.
     pub free_mb: Vec<f64>,
@@ -42,7 +42,7 @@
             held: Vec::with_capacity(engines.len()),
             offers: nowhere.clone(),
             holders: nowhere.clone(),
-            at_hand: nowhere,
+            local_copies: nowhere,
             free_mb: Vec::with_capacity(engines.len()),
             numbers: numbers.collect(),
             adapter_offers: vec![HashMap::new(); models.len()],
@@ -72,7 +72,7 @@
         let kept: BTreeSet<usize> =
             engine.in_memory.iter().chain(&engine.on_disk).filter_map(numbered).collect();
         for model in kept {
-            self.at_hand[model].push(index);
+            self.local_copies[model].push(index);
         }
         // What is not configured counts as if it filled the engine.
         let size = |name: &ModelName| {
--- a/trackfront_core/src/serving/planner/limited.rs
+++ b/trackfront_core/src/serving/planner/limited.rs
@@ -9,7 +9,7 @@
 
 /// An engine's models, and the limit that it named in requests a second.
 #[derive(Clone, Copy, Debug)]
-pub struct Limited<'a> {
+pub struct RateLimitedEngine<'a> {
     /// What it holds.
     pub models: &'a Residents,
     /// The limit; `None` for an engine without one.
@@ -18,7 +18,10 @@
 
 /// Returns for each engine whether it takes its part of the requests for the models that it holds, each shared evenly by
 /// all that hold it. A copy at one that does not is one too few, as at an engine that is about to leave.
-pub fn takes_part(engines: &[Limited<'_>], demand: &HashMap<ModelRef, Rate>) -> Vec<bool> {
+pub fn covers_share(
+    engines: &[RateLimitedEngine<'_>],
+    demand: &HashMap<ModelRef, Rate>,
+) -> Vec<bool> {
     let mut copies: HashMap<&ModelName, f64> = HashMap::new();
     for model in engines.iter().flat_map(|engine| engine.models.keys()) {
         *copies.entry(model).or_default() += 1.0;
@@ -27,7 +30,7 @@
         let asked = demand.get(&ModelRef { model: model.clone(), adapter: None });
         asked.map_or(0.0, |rate| rate.requests) / copies[model]
     };
-    let takes = |engine: &Limited<'_>| match engine.per_s {
+    let takes = |engine: &RateLimitedEngine<'_>| match engine.per_s {
         None => true,
         Some(per_s) => per_s >= engine.models.keys().map(part).sum::<f64>(),
     };
--- a/trackfront_core/src/serving/planner/mod.rs
+++ b/trackfront_core/src/serving/planner/mod.rs
@@ -87,7 +87,7 @@
 
 /// What a plan was made from, for one model.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ModelPlan {
+pub struct ModelSummary {
     /// The model.
     pub model: ModelName,
     /// What is asked for, as a share of one engine's time.
@@ -100,11 +100,11 @@
 
 /// A plan and what it was made from.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Planned {
+pub struct Plan {
     /// What to order, the most urgent first.
     pub proposals: Vec<Proposal>,
     /// The models that are asked for or lack copies, the busiest first.
-    pub models: Vec<ModelPlan>,
+    pub models: Vec<ModelSummary>,
 }
 
 /// Proposes orders, the most urgent first: for each engine one for a model, or some for adapters.
@@ -115,7 +115,7 @@
     engines: &[EngineView],
     demand: &HashMap<ModelRef, Rate>,
     store_loads: usize,
-) -> Planned {
+) -> Plan {
     let inventory = Inventory::new(spec, engines);
     let mut models = ModelPlanner::new(&inventory, demand, store_loads);
     let summary = summary(&inventory, &models);
@@ -126,11 +126,11 @@
     let of_adapters = adapters.into_proposals();
     let mut proposals = models.into_proposals();
     proposals.extend(of_adapters);
-    Planned { proposals, models: summary }
+    Plan { proposals, models: summary }
 }
 
-fn summary(inventory: &Inventory<'_>, planner: &ModelPlanner<'_>) -> Vec<ModelPlan> {
-    let model = |model: usize| ModelPlan {
+fn summary(inventory: &Inventory<'_>, planner: &ModelPlanner<'_>) -> Vec<ModelSummary> {
+    let model = |model: usize| ModelSummary {
         model: inventory.models[model].name.clone(),
         demand: planner.demand(model),
         copies: planner.copies(model),
--- a/trackfront_core/src/serving/planner/models.rs
+++ b/trackfront_core/src/serving/planner/models.rs
@@ -99,7 +99,7 @@
             }
         }
         let presence = (0..demand.len()).map(|model| {
-            match !is_asked_for[model] && !inventory.at_hand[model].is_empty() {
+            match !is_asked_for[model] && !inventory.local_copies[model].is_empty() {
                 true => WORTH_BEING_THERE_IDLE,
                 false => WORTH_BEING_THERE + demand[model],
             }
@@ -222,7 +222,7 @@
     fn add_copy(&mut self, model: usize, worth: f64, reason: &'static str) -> bool {
         // With the weight store's rate used up only engines that keep the weights can load it.
         let best = match self.store_loads {
-            0 => self.best_engine(self.inventory.at_hand[model].iter(), model, worth),
+            0 => self.best_engine(self.inventory.local_copies[model].iter(), model, worth),
             _ => self.best_engine(self.open.iter(), model, worth),
         };
         let Some((index, victim)) = best else {
--- a/trackfront_core/tests/serving/demand.rs
+++ b/trackfront_core/tests/serving/demand.rs
@@ -34,10 +34,10 @@
 fn peers_add_up_until_they_fall_silent() {
     let mut meter = DemandMeter::default();
     let told = |requests| vec![(item("m", None), Rate { requests, work_ms: 0.0 })];
-    meter.told(1, told(5.0), at(0));
-    meter.told(2, told(7.0), at(1_000));
+    meter.apply_report(1, told(5.0), at(0));
+    meter.apply_report(2, told(7.0), at(1_000));
     assert_eq!(rate_after(&mut meter, 1_000), 12.0);
-    meter.told(2, told(1.0), at(1_500));
+    meter.apply_report(2, told(1.0), at(1_500));
     assert_eq!(rate_after(&mut meter, 1_500), 6.0);
     assert_eq!(rate_after(&mut meter, 2_500), 1.0, "the first peer was not heard for 2 s");
 }
--- a/trackfront_core/tests/serving/limited.rs
+++ b/trackfront_core/tests/serving/limited.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use trackfront_core::serving::demand::Rate;
-use trackfront_core::serving::planner::limited::{Limited, takes_part};
+use trackfront_core::serving::planner::limited::{RateLimitedEngine, covers_share};
 use trackfront_core::serving::request::ModelRef;
 
 use super::support::{item, residents};
@@ -19,15 +19,17 @@
         (item("m", Some("a1")), rate(99.0)),
     ]);
     let with = |first, second| {
-        let engines =
-            [Limited { models: &busy, per_s: first }, Limited { models: &quiet, per_s: second }];
-        takes_part(&engines, &demand)
+        let engines = [
+            RateLimitedEngine { models: &busy, per_s: first },
+            RateLimitedEngine { models: &quiet, per_s: second },
+        ];
+        covers_share(&engines, &demand)
     };
     assert_eq!(with(None, None), [true, true]);
     assert_eq!(with(Some(6.9), Some(1.0)), [false, true], "6 of m, and half of 2 of n");
     assert_eq!(with(Some(7.0), Some(0.9)), [true, false]);
     assert_eq!(
-        takes_part(&[Limited { models: &quiet, per_s: Some(0.0) }], &HashMap::new()),
+        covers_share(&[RateLimitedEngine { models: &quiet, per_s: Some(0.0) }], &HashMap::new()),
         [true]
     );
 }
--- a/trackfrontd/src/serving/gossip.rs
+++ b/trackfrontd/src/serving/gossip.rs
@@ -231,7 +231,7 @@
         let rate = Rate { requests: f64::from(*requests) / 100.0, work_ms: f64::from(*work_ms) };
         Some((names.item(*item)?.clone(), rate))
     });
-    node.demand.lock().told(ip.to_bits(), rates.collect(), node.now());
+    node.demand.lock().apply_report(ip.to_bits(), rates.collect(), node.now());
     let in_use = told.in_use.iter().filter_map(|(server, item)| {
         Some((names.server(*server)?.clone(), names.item(*item)?.clone()))
     });
--- a/trackfrontd/src/serving/placement.rs
+++ b/trackfrontd/src/serving/placement.rs
@@ -15,8 +15,8 @@
 use trackfront_core::serving::demand::Rate;
 use trackfront_core::serving::directory::KnownServer;
 use trackfront_core::serving::orders::{LoadPacer, Operation};
-use trackfront_core::serving::planner::limited::{Limited, takes_part};
-use trackfront_core::serving::planner::{EngineView, Planned, Proposal, plan};
+use trackfront_core::serving::planner::limited::{RateLimitedEngine, covers_share};
+use trackfront_core::serving::planner::{EngineView, Plan, Proposal, plan};
 use trackfront_core::serving::request::ModelRef;
 use trackfront_core::units::Moment;
 
@@ -192,14 +192,14 @@
         now: Moment,
     ) -> Vec<(&'a Arc<KnownServer>, bool)> {
         let notices = self.node.notices.lock();
-        let limited = engines.iter().map(|server| Limited {
+        let limited = engines.iter().map(|server| RateLimitedEngine {
             models: &server.entry.models,
             per_s: notices.limit_per_s(&server.entry.id),
         });
-        let takes_part = takes_part(&limited.collect::<Vec<_>>(), demand);
+        let covers_share = covers_share(&limited.collect::<Vec<_>>(), demand);
         let backs_off =
             |server: &KnownServer| notices.backoff_until(&server.entry.id, now).is_some();
-        let all = engines.into_iter().zip(takes_part).filter(|(_, takes_part)| *takes_part);
+        let all = engines.into_iter().zip(covers_share).filter(|(_, covers_share)| *covers_share);
         all.map(|(server, _)| (server, backs_off(server))).collect()
     }
 
@@ -263,7 +263,7 @@
 }
 
 /// Logs the inputs of a plan: demand, copies and wanted copies of each model in it.
-fn log_summary(service: &ServiceName, engines: usize, idle: usize, planned: &Planned) {
+fn log_summary(service: &ServiceName, engines: usize, idle: usize, planned: &Plan) {
     let models = planned
         .models
         .iter()
