--- a/trackfrontd/src/serving/node.rs
+++ b/trackfrontd/src/serving/node.rs
@@ -22,7 +22,6 @@
 use trackfront_core::serving::halls::Evacuations;
 use trackfront_core::serving::load::LoadTracker;
 use trackfront_core::serving::notices::NoticeTracker;
-use trackfront_core::serving::halls::Evacuations;
 use trackfront_core::serving::refusal_retries::RefusalRetries;
 use trackfront_core::serving::request::ModelRef;
 use trackfront_core::serving::retry_budget::RetryBudgets;
--- a/trackfrontd/src/serving/pipeline/choice.rs
+++ b/trackfrontd/src/serving/pipeline/choice.rs
@@ -6,7 +6,7 @@
 use trackfront_core::serving::choice::{Choice, NoChoice, Query, choose};
 use trackfront_core::serving::cold::ColdStart;
 use trackfront_core::serving::directory::KnownServer;
-use trackfront_core::serving::halls::{Evacuations, AllowedHalls};
+use trackfront_core::serving::halls::{AllowedHalls, Evacuations};
 use trackfront_core::serving::sampling::sample_servers;
 
 use super::Job;
