--- a/trackfrontd/src/serving/order_task.rs
+++ b/trackfrontd/src/serving/order_task.rs
@@ -317,7 +317,8 @@
             // What an engine with a limit holds is read from its row, though later: each poll would
             // take the place of a client's request.
             let report = if self.limit().is_none() { self.read_report().await } else { None };
-            if let Some(other) = report.as_ref().filter(|it| it.is_of_other_incarnation(&self.server.entry))
+            if let Some(other) =
+                report.as_ref().filter(|it| it.is_of_other_incarnation(&self.server.entry))
             {
                 for proposal in &open {
                     self.log(proposal, "order undone", other.sequence, OTHER_INCARNATION);
