--- a/trackfrontd/src/serving/cold.rs
+++ b/trackfrontd/src/serving/cold.rs
@@ -30,7 +30,7 @@
 
 impl ColdView<'_> {
     /// Returns whether a server is cold, and whether this box may send to it.
-    pub fn judge(&self, server: &KnownServer, now: Moment) -> ColdState {
+    pub fn state(&self, server: &KnownServer, now: Moment) -> ColdState {
         let Some(start) = self.start else {
             return ColdState::Warm;
         };
@@ -64,7 +64,7 @@
     }
 }
 
-/// Reserves a request to a server if the server is cold. Returns whether the request may be sent.
+/// Reserves a send to a server if it is cold. Returns whether the request may be sent.
 pub fn reserve(
     node: &ServingNode,
     start: Option<ColdStart>,
@@ -75,8 +75,8 @@
     let evacuations = node.evacuations.lock();
     let mut tracker = node.cold.lock();
     let view = ColdView { start, terms, tracker: &tracker, evacuations: &evacuations };
-    match (view.judge(server, now), start) {
+    match (view.state(server, now), start) {
         (ColdState::Admitting, Some(start)) => tracker.take(&server.entry.id, start, terms, now),
-        (coldness, _) => coldness == ColdState::Warm,
+        (state, _) => state == ColdState::Warm,
     }
 }
--- a/trackfrontd/src/serving/crashes/mod.rs
+++ b/trackfrontd/src/serving/crashes/mod.rs
@@ -96,9 +96,9 @@
     IncarnationId(short_server(server))
 }
 
-/// Returns whether a quarantined request may be sent as a trial, to find out whether it really
-/// crashes servers.
-pub fn take_trial(node: &ServingNode, fingerprint: Fingerprint) -> bool {
+/// Starts a trial of a quarantined request, to find out whether it really crashes servers. Returns
+/// whether it may be sent.
+pub fn try_start_trial(node: &ServingNode, fingerprint: Fingerprint) -> bool {
     let me = node.settings.load().node.ip;
     let is_first = coordinators_of(node, fingerprint).first() == Some(&me);
     let is_trial = is_first && node.crashes.tracker.lock().start_trial(fingerprint, node.now());
--- a/trackfrontd/src/serving/crashes/outbox.rs
+++ b/trackfrontd/src/serving/crashes/outbox.rs
@@ -158,8 +158,8 @@
     }
     let boxes = node.peers.lock().reachable(now);
     let servers: Vec<u32> = ended.iter().map(short_server).collect();
-    for some in servers.chunks(ENDED_PER_MESSAGE) {
-        socket.send(&Message::ServersEnded(some.to_vec()), &boxes).await;
+    for chunk in servers.chunks(ENDED_PER_MESSAGE) {
+        socket.send(&Message::ServersEnded(chunk.to_vec()), &boxes).await;
     }
 }
 
@@ -171,7 +171,7 @@
     }
     let me = node.settings.load().node.ip;
     let mut for_all = Vec::new();
-    let mut for_some: BTreeMap<Ipv4Addr, Vec<CrashReport>> = BTreeMap::new();
+    let mut for_coordinators: BTreeMap<Ipv4Addr, Vec<CrashReport>> = BTreeMap::new();
     for (fingerprint, to_all) in due {
         let Some(report) = node.crashes.tracker.lock().report(fingerprint).cloned() else {
             continue;
@@ -181,15 +181,15 @@
             continue;
         }
         let others = coordinators_of(node, fingerprint).into_iter().filter(|ip| *ip != me);
-        others.for_each(|ip| for_some.entry(ip).or_default().push(report.clone()));
+        others.for_each(|ip| for_coordinators.entry(ip).or_default().push(report.clone()));
     }
     let all = node.peers.lock().reachable(now);
-    for some in for_all.chunks(REPORTS_PER_MESSAGE) {
-        socket.send(&Message::CrashReports(some.to_vec()), &all).await;
+    for chunk in for_all.chunks(REPORTS_PER_MESSAGE) {
+        socket.send(&Message::CrashReports(chunk.to_vec()), &all).await;
     }
-    for (ip, reports) in for_some {
-        for some in reports.chunks(REPORTS_PER_MESSAGE) {
-            socket.send(&Message::CrashReports(some.to_vec()), &[ip]).await;
+    for (ip, reports) in for_coordinators {
+        for chunk in reports.chunks(REPORTS_PER_MESSAGE) {
+            socket.send(&Message::CrashReports(chunk.to_vec()), &[ip]).await;
         }
     }
 }
--- a/trackfrontd/src/serving/crashes/rows.rs
+++ b/trackfrontd/src/serving/crashes/rows.rs
@@ -85,9 +85,9 @@
 
 /// Returns the quarantined requests for a starting box; `None` if this box hasn't loaded them.
 pub fn snapshot(node: &ServingNode) -> Option<Vec<CrashReport>> {
-    let held_off =
+    let quarantined =
         || node.crashes.all_quarantined().into_iter().map(|(report, _)| report).collect();
-    node.crashes.is_loaded().then(held_off)
+    node.crashes.is_loaded().then(quarantined)
 }
 
 async fn read_rows(node: &ServingNode) -> Result<Vec<CrashReport>, TableError> {
--- a/trackfrontd/src/serving/listeners.rs
+++ b/trackfrontd/src/serving/listeners.rs
@@ -26,7 +26,8 @@
 
 /// Binds a listener, also to an address that an earlier process has just released.
 pub fn bind(address: SocketAddr) -> anyhow::Result<TcpListener> {
-    let socket = TcpSocket::new_v4().context("no socket; raise the limit of descriptors")?;
+    let socket = TcpSocket::new_v4()
+        .context("cannot create a socket; raise the limit of file descriptors")?;
     socket.set_reuseaddr(true)?;
     let remedy = || format!("cannot listen on {address}; free it or change `listen`");
     socket.bind(address).with_context(remedy)?;
--- a/trackfrontd/src/serving/notices/broadcast.rs
+++ b/trackfrontd/src/serving/notices/broadcast.rs
@@ -25,7 +25,7 @@
 
 /// The minimum interval between two messages about a server, which may change its notices with each
 /// answer.
-const MIN_DIGEST_INTERVAL: Duration = Duration::from_millis(200);
+const MIN_SEND_GAP: Duration = Duration::from_millis(200);
 
 /// How long notices are collected before they are sent.
 const BATCH_DELAY: Duration = Duration::from_millis(15);
@@ -41,7 +41,7 @@
 /// Servers with notices that are yet to be sent.
 #[derive(Default)]
 pub struct NoticeOutbox {
-    waiting: Mutex<HashMap<BackendId, PendingSend>>,
+    pending: Mutex<HashMap<BackendId, PendingSend>>,
     wake: Notify,
 }
 
@@ -49,26 +49,26 @@
 struct PendingSend {
     sends_left: u32,
     due: Moment,
-    told: Option<Moment>,
+    last_sent: Option<Moment>,
 }
 
 impl NoticeOutbox {
     pub(super) fn add(&self, server: &BackendId, now: Moment) {
-        let mut waiting = self.waiting.lock();
-        let told = waiting.get(server).and_then(|pending_send| pending_send.told);
-        let due = told.map_or(now, |told| (told + MIN_DIGEST_INTERVAL).max(now));
-        waiting.insert(server.clone(), PendingSend { sends_left: SEND_ATTEMPTS, due, told });
-        drop(waiting);
+        let mut pending = self.pending.lock();
+        let last_sent = pending.get(server).and_then(|pending_send| pending_send.last_sent);
+        let due = last_sent.map_or(now, |last_sent| (last_sent + MIN_SEND_GAP).max(now));
+        pending.insert(server.clone(), PendingSend { sends_left: SEND_ATTEMPTS, due, last_sent });
+        drop(pending);
         self.wake.notify_one();
     }
 
     fn take_due(&self, now: Moment) -> Vec<BackendId> {
         let mut due = Vec::new();
-        self.waiting.lock().retain(|server, pending_send| {
+        self.pending.lock().retain(|server, pending_send| {
             if pending_send.due <= now {
                 due.push(server.clone());
                 pending_send.sends_left -= 1;
-                pending_send.told = Some(now);
+                pending_send.last_sent = Some(now);
                 pending_send.due = now + RESEND_INTERVAL;
             }
             pending_send.sends_left > 0
@@ -77,7 +77,7 @@
     }
 
     fn is_empty(&self) -> bool {
-        self.waiting.lock().is_empty()
+        self.pending.lock().is_empty()
     }
 }
 
@@ -90,7 +90,7 @@
         };
         let age = Duration::from_millis(u64::from(notice.age_ms));
         let at = Moment(now.0.saturating_sub(age));
-        let learned = match notice.kind {
+        let change = match notice.kind {
             NoticeKind::Cold(ms) => {
                 record_cold(node, &server, Duration::from_millis(u64::from(ms)), by);
                 None
@@ -100,7 +100,7 @@
             NoticeKind::Limit(per_s) => node.notices.lock().apply_limit(&server, Some(per_s), at),
             NoticeKind::LimitOver => node.notices.lock().apply_limit(&server, None, at),
         };
-        learned.into_iter().for_each(|learned| record(node, &server, learned, by));
+        change.into_iter().for_each(|change| record(node, &server, change, by));
     }
 }
 
@@ -158,19 +158,16 @@
     server: &BackendId,
     now: Moment,
 ) -> Vec<NoticeRecord> {
-    let told = |said, at| NoticeRecord {
-        server: short_server(server),
-        kind: said,
-        age_ms: age_ms(at, now),
-    };
+    let record_at =
+        |kind, at| NoticeRecord { server: short_server(server), kind, age_ms: age_ms(at, now) };
     let limit = tracker.known_limit(server).map(|KnownLimit { per_s, at, .. }| match per_s {
-        Some(per_s) => told(NoticeKind::Limit(per_s), at),
-        None => told(NoticeKind::LimitOver, at),
+        Some(per_s) => record_at(NoticeKind::Limit(per_s), at),
+        None => record_at(NoticeKind::LimitOver, at),
     });
-    let leaves = tracker.leaving_since(server).map(|since| told(NoticeKind::Leaves, since));
+    let leaves = tracker.leaving_since(server).map(|since| record_at(NoticeKind::Leaves, since));
     let cold = cold.reported_until(server).map(|until| {
         let ms = u32::try_from(until.since(now).as_millis()).unwrap_or(u32::MAX);
-        told(NoticeKind::Cold(ms), now)
+        record_at(NoticeKind::Cold(ms), now)
     });
     limit.into_iter().chain(leaves).chain(cold).collect()
 }
--- a/trackfrontd/src/serving/order_task.rs
+++ b/trackfrontd/src/serving/order_task.rs
@@ -53,7 +53,7 @@
 const FIRST_ADAPTER_POLL: Duration = Duration::from_millis(100);
 
 /// The multiple of the configured load time after which an order is given up.
-const MAX_LOAD_TIMES: u32 = 4;
+const MAX_LOAD_TIME_FACTOR: u32 = 4;
 
 /// The minimum time for any order about a model before it is given up.
 const MIN_ORDER_WAIT: Duration = Duration::from_secs(15);
@@ -115,7 +115,7 @@
         let now = self.node.now();
         let mut tracker = self.tracker.lock();
         let engine_orders = tracker.engines.entry(self.id().clone()).or_default();
-        engine_orders.working = false;
+        engine_orders.has_task = false;
         engine_orders.awaits_load = false;
         engine_orders.loading = None;
         engine_orders.leaving = None;
@@ -269,8 +269,8 @@
         let options = SendOptions { connect_time: CONNECT_TIMEOUT, max_idle: Duration::ZERO };
         let may_order =
             || self.order_fence.usable(self.node.now()) == Some(fence) && self.may_call(permit);
-        let make = || may_order().then(|| self.node.ports.servers.order_request(server, &order));
-        let sending = self.node.pool.send(&server.address, options, make);
+        let build = || may_order().then(|| self.node.ports.servers.order_request(server, &order));
+        let sending = self.node.pool.send(&server.address, options, build);
         let sent_at = self.node.now();
         match timeout(ORDER_TIMEOUT, sending).await {
             Ok(Ok(answer)) => {
@@ -296,9 +296,10 @@
         let start = self.node.now();
         let of_model = open.iter().any(|proposal| proposal.item.adapter.is_none());
         let (max_wait, mut pause) = match of_model {
-            true => {
-                ((accepted.load_time * MAX_LOAD_TIMES).max(MIN_ORDER_WAIT), MODEL_POLL_INTERVAL)
-            }
+            true => (
+                (accepted.load_time * MAX_LOAD_TIME_FACTOR).max(MIN_ORDER_WAIT),
+                MODEL_POLL_INTERVAL,
+            ),
             false => (MAX_ADAPTER_WAIT, FIRST_ADAPTER_POLL),
         };
         match of_model {
@@ -427,12 +428,13 @@
     async fn read_report(&self) -> Option<EngineReport> {
         let permit = self.wait_for_call_permit().await?;
         let server = &self.server.entry;
-        let make = || self.may_call(permit).then(|| self.node.ports.servers.report_request(server));
+        let build =
+            || self.may_call(permit).then(|| self.node.ports.servers.report_request(server));
         let options =
             SendOptions { connect_time: CONNECT_TIMEOUT, max_idle: Duration::from_secs(2) };
         let asked_at = self.node.now();
         let reading = async {
-            let answer = self.node.pool.send(&server.address, options, make).await?;
+            let answer = self.node.pool.send(&server.address, options, build).await?;
             self.observe_head(&answer, asked_at);
             answer.body.read(MAX_REPORT_BYTES).await
         };
--- a/trackfrontd/src/serving/order_tracker.rs
+++ b/trackfrontd/src/serving/order_tracker.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct EngineOrders {
     /// Whether a task is giving orders to the engine.
-    pub working: bool,
+    pub has_task: bool,
     /// The model that is being loaded, or for which room is being made.
     pub loading: Option<ModelName>,
     /// The model that is being unloaded.
@@ -93,7 +93,7 @@
         leaving: engine_orders.leaving.clone(),
         pending,
         in_use: BTreeSet::new(),
-        busy: engine_orders.working || now < engine_orders.rest_until,
+        busy: engine_orders.has_task || now < engine_orders.rest_until,
         in_memory,
         on_disk,
     }
--- a/trackfrontd/src/serving/overlay.rs
+++ b/trackfrontd/src/serving/overlay.rs
@@ -91,11 +91,11 @@
     /// Returns the earliest time at which an engine is expected to hold an item.
     pub fn expected_at(&self, item: &ModelRef) -> Option<Moment> {
         let entries = self.entries.values().filter_map(|entries| entries.get(item));
-        let coming = entries.filter_map(|entry| match entry.kind {
+        let expected = entries.filter_map(|entry| match entry.kind {
             EntryKind::Pending(at) => Some(at),
             EntryKind::Withdrawn | EntryKind::Added => None,
         });
-        coming.min()
+        expected.min()
     }
 
     /// Returns the engines that are expected to hold an item, and when.
@@ -149,7 +149,7 @@
     }
 
     fn cold_state(&self, server: &KnownServer) -> ColdState {
-        self.cold.judge(server, self.now)
+        self.cold.state(server, self.now)
     }
 
     fn leaving_since(&self, server: &BackendId) -> Option<Moment> {
--- a/trackfrontd/src/serving/pipeline/attempt.rs
+++ b/trackfrontd/src/serving/pipeline/attempt.rs
@@ -44,7 +44,7 @@
 
 /// The multiple of its target for which an idempotent request waits at one server before another is
 /// tried.
-const HEAD_WAIT_TARGETS: u32 = 4;
+const HEAD_WAIT_TARGET_FACTOR: u32 = 4;
 
 /// Counts a request as in flight at a server until it is dropped.
 pub struct SendGuard {
@@ -128,7 +128,7 @@
         if !self.route.is_idempotent() || self.route.max_attempts < 2 {
             return self.answer_by;
         }
-        let max_wait = self.route.target * HEAD_WAIT_TARGETS;
+        let max_wait = self.route.target * HEAD_WAIT_TARGET_FACTOR;
         let half = self.answer_by.saturating_duration_since(self.request_time()) / 2;
         self.request_time() + max_wait.max(half)
     }
@@ -197,7 +197,7 @@
         let now = self.node.now();
         let request_time = self.request_time_at(now);
         let is_recent = now.since(choice.at) <= MAX_CHOICE_AGE;
-        let may_send = is_recent && self.key_is_good(now) && self.may_pass_quarantine();
+        let may_send = is_recent && self.is_key_valid(now) && self.may_pass_quarantine();
         if !may_send
             || request_time >= self.answer_by
             || !self.may_send_to(&choice.server, permit, now)
--- a/trackfrontd/src/serving/pipeline/hold.rs
+++ b/trackfrontd/src/serving/pipeline/hold.rs
@@ -144,7 +144,7 @@
     }
 
     /// Logs and counts the end of a hold, and records how long adapters take.
-    fn finish_hold(&self, held_for: Option<NoChoice>, began: Instant, came: bool) {
+    fn finish_hold(&self, held_for: Option<NoChoice>, began: Instant, succeeded: bool) {
         let Some(no_choice) = held_for else {
             return;
         };
@@ -152,7 +152,7 @@
         if no_choice == NoChoice::NoAdapter {
             self.node.missing_items.record_adapter_wait(took);
         }
-        let kind = if came { "came" } else { "did not come" };
+        let kind = if succeeded { "came" } else { "did not come" };
         self.node.metrics.held.get_or_create(&KindLabel { kind }).observe(took.as_secs_f64());
         let (request, ms) = (&self.info.id, took.as_millis() as u64);
         log::info!(request:%, lack = no_choice.name(), ms, outcome = kind; "request held");
--- a/trackfrontd/src/serving/pipeline/key.rs
+++ b/trackfrontd/src/serving/pipeline/key.rs
@@ -47,16 +47,16 @@
 /// longer the configuration stays stale is how long it has been stale so far.
 fn not_current(node: &ServingNode) -> Refusal {
     let terms = node.settings.load().promises.keys();
-    let silent = node.config_freshness.age(node.now()).zip(terms);
-    let silent = silent.map(|(age, terms)| age.saturating_sub(terms.max_age()));
+    let stale = node.config_freshness.age(node.now()).zip(terms);
+    let stale = stale.map(|(age, terms)| age.saturating_sub(terms.max_age()));
     let (least, most) = NOT_CURRENT_RETRY_AFTER;
-    Refusal::NotCurrent { retry_after: silent.unwrap_or(STARTING_RETRY_AFTER).clamp(least, most) }
+    Refusal::NotCurrent { retry_after: stale.unwrap_or(STARTING_RETRY_AFTER).clamp(least, most) }
 }
 
 impl Job {
     /// Returns whether the key still belongs to its account at `now`, by accounts known to be
     /// current. It must be the last check before each send, since the process may have stood still.
-    pub(super) fn key_is_good(&self, now: Moment) -> bool {
+    pub(super) fn is_key_valid(&self, now: Moment) -> bool {
         let Some(account) = &self.account else {
             return true;
         };
@@ -71,7 +71,7 @@
     /// Refuses a request whose key is no longer known to be valid.
     pub(super) fn check_key(&self, attempts: &Attempts) -> Option<Refusal> {
         let now = self.node.now();
-        if self.key_is_good(now) {
+        if self.is_key_valid(now) {
             return None;
         }
         Some(match attempts.may_have_run {
--- a/trackfrontd/src/serving/pipeline/mod.rs
+++ b/trackfrontd/src/serving/pipeline/mod.rs
@@ -394,7 +394,7 @@
             return None;
         }
         let servers = self.node.crashes.quarantined(self.fingerprint)?;
-        if attempts.servers.is_empty() && crashes::take_trial(&self.node, self.fingerprint) {
+        if attempts.servers.is_empty() && crashes::try_start_trial(&self.node, self.fingerprint) {
             self.is_trial.store(true, Ordering::Relaxed);
             return None;
         }
--- a/trackfrontd/src/serving/pipeline/retry_after.rs
+++ b/trackfrontd/src/serving/pipeline/retry_after.rs
@@ -30,7 +30,9 @@
         let wait = match no_choice {
             NoChoice::AllTried => return self.retry_after_wait(self.unavailable_for()),
             NoChoice::NoServer | NoChoice::NotAllowed => NO_SERVER_RETRY_AFTER,
-            NoChoice::Unavailable(shut) => shut.until.since(self.node.now()).max(MIN_RETRY_AFTER),
+            NoChoice::Unavailable(unavailable) => {
+                unavailable.until.since(self.node.now()).max(MIN_RETRY_AFTER)
+            }
             NoChoice::NoModel => self.pending_load_time().unwrap_or_else(|| self.load_from_now()),
             NoChoice::NoAdapter => ADAPTER_RETRY_AFTER,
         };
@@ -41,7 +43,7 @@
     /// if one is available.
     pub(super) fn unavailable_for(&self) -> Duration {
         match self.choose(&[]) {
-            Err(NoChoice::Unavailable(shut)) => shut.until.since(self.node.now()),
+            Err(NoChoice::Unavailable(unavailable)) => unavailable.until.since(self.node.now()),
             _ => Duration::ZERO,
         }
     }
@@ -60,8 +62,8 @@
 
     /// Returns the retry-after time if the next free slot is `wait` away.
     pub fn retry_after_wait(&self, wait: Duration) -> Duration {
-        let share = self.node.saturation.lock().refused_fraction(&self.service, self.node.now());
-        self.spread(wait.max(MIN_RETRY_AFTER) + SATURATION_EXTRA_WAIT.mul_f64(share))
+        let refused = self.node.saturation.lock().refused_fraction(&self.service, self.node.now());
+        self.spread(wait.max(MIN_RETRY_AFTER) + SATURATION_EXTRA_WAIT.mul_f64(refused))
     }
 
     /// Returns the shortest time in which an engine of the service could load the model: from its
@@ -82,7 +84,7 @@
 
     /// Lengthens a wait by up to half, depending on the request's identifier.
     pub(super) fn spread(&self, wait: Duration) -> Duration {
-        let part = (short_hash(self.info.id.as_str()) % 1_000) as f64 / 1_000.0;
-        wait.mul_f64(1.0 + part / 2.0)
+        let fraction = (short_hash(self.info.id.as_str()) % 1_000) as f64 / 1_000.0;
+        wait.mul_f64(1.0 + fraction / 2.0)
     }
 }
--- a/trackfrontd/src/serving/placement.rs
+++ b/trackfrontd/src/serving/placement.rs
@@ -35,7 +35,7 @@
 
 /// The pause after planning, in multiples of the time that planning took: a box that plans for
 /// thousands of engines must still answer requests and receive messages.
-const PAUSE_PER_PLANNING_TIME: u32 = 4;
+const PAUSE_PLANNING_TIME_FACTOR: u32 = 4;
 
 /// The maximum pause after planning: the machine may have been suspended while it planned.
 const MAX_PAUSE: Duration = Duration::from_millis(2_000);
@@ -81,9 +81,9 @@
     /// Plans and gives orders until the box stops, then releases the lease.
     pub async fn run(mut self) {
         while !self.node.is_stopping() {
-            let lacking = self.node.missing_item_added.notified();
-            let _ = timeout(ROUND_INTERVAL, lacking).await;
-            let pause = (self.planning_time * PAUSE_PER_PLANNING_TIME).min(MAX_PAUSE);
+            let notified = self.node.missing_item_added.notified();
+            let _ = timeout(ROUND_INTERVAL, notified).await;
+            let pause = (self.planning_time * PAUSE_PLANNING_TIME_FACTOR).min(MAX_PAUSE);
             sleep(MIN_ROUND_GAP.max(pause)).await;
             self.planning_time = Duration::ZERO;
             while self.tasks.try_join_next().is_some() {}
@@ -97,15 +97,15 @@
         let Some(config) = self.node.config.load_full() else {
             return;
         };
-        let placed: Vec<(ServiceName, EngineSpec)> = config
+        let services: Vec<(ServiceName, EngineSpec)> = config
             .services
             .iter()
             .filter_map(|(name, service)| Some((name.clone(), service.engine.clone()?)))
             .collect();
-        if placed.is_empty() {
+        if services.is_empty() {
             return;
         }
-        if self.node.is_discovering_peers() || !self.knows_engines(&placed) {
+        if self.node.is_discovering_peers() || !self.knows_engines(&services) {
             return;
         }
         let was_holder = self.lease.is_holder();
@@ -122,10 +122,10 @@
             tracker.engines.clear();
         }
         self.node.overlay.lock().forget_old(now);
-        for (service, spec) in placed {
-            let began = self.node.now();
+        for (service, spec) in services {
+            let started_at = self.node.now();
             let proposals = self.propose(&service, &spec, now);
-            self.planning_time += self.node.now().since(began);
+            self.planning_time += self.node.now().since(started_at);
             if !proposals.is_empty() && self.lease.renew().await {
                 for (engine, proposals) in by_engine(proposals) {
                     self.start_task(&engine, proposals, &spec);
@@ -135,10 +135,11 @@
     }
 
     /// Returns whether there are engines to give orders to, and the list of them is complete.
-    fn knows_engines(&self, placed: &[(ServiceName, EngineSpec)]) -> bool {
+    fn knows_engines(&self, services: &[(ServiceName, EngineSpec)]) -> bool {
         let directory = self.node.directory.lock();
-        let some = placed.iter().any(|(service, _)| !directory.of_service(service).is_empty());
-        some && !directory.may_be_incomplete(self.node.now())
+        let has_engines =
+            services.iter().any(|(service, _)| !directory.of_service(service).is_empty());
+        has_engines && !directory.may_be_incomplete(self.node.now())
     }
 
     fn propose(&mut self, service: &ServiceName, spec: &EngineSpec, now: Moment) -> Vec<Proposal> {
@@ -150,29 +151,30 @@
         let mut views = Vec::with_capacity(servers.len());
         let evacuations = self.node.evacuations.lock();
         // Servers of an evacuated hall get no requests, so what they hold counts as missing.
-        let is_used = |server: &&Arc<KnownServer>| {
+        let is_usable = |server: &&Arc<KnownServer>| {
             self.node.accepts_new(server) && !evacuations.is_evacuated(&server.entry.hall)
         };
-        let used: Vec<&Arc<KnownServer>> = servers.iter().filter(is_used).collect();
+        let usable: Vec<&Arc<KnownServer>> = servers.iter().filter(is_usable).collect();
         let demand = self.node.demand.lock().total(now);
-        for (server, backs_off) in self.participating(used, &demand, now) {
+        for (server, backs_off) in self.participating(usable, &demand, now) {
             let mut loads = self.node.loads.lock();
             let load = loads.server(&server.entry.id);
-            let silent = load.unreachable_since();
-            let lost = silent.is_some_and(|since| now.since(since) > UNREACHABLE_GRACE);
+            let unreachable_since = load.unreachable_since();
+            let lost = unreachable_since.is_some_and(|since| now.since(since) > UNREACHABLE_GRACE);
             if !lost && !load.is_replaced() {
                 let engine_orders = tracker.engines.entry(server.entry.id.clone()).or_default();
-                let seen = view(server, engine_orders, now);
-                let busy =
-                    seen.busy || tracker.may_receive_stale_order(&server.entry, now) || backs_off;
+                let engine_view = view(server, engine_orders, now);
+                let busy = engine_view.busy
+                    || tracker.may_receive_stale_order(&server.entry, now)
+                    || backs_off;
                 let in_use = in_use.remove(&server.entry.id).unwrap_or_default();
-                views.push(EngineView { in_use, busy, ..seen });
+                views.push(EngineView { in_use, busy, ..engine_view });
             }
         }
-        let awaited =
+        let awaited_loads =
             tracker.engines.values().filter(|engine_orders| engine_orders.awaits_load).count();
         let available = tracker.pacer.available(spec.loads_per_s, now);
-        let store_loads = available.saturating_sub(awaited);
+        let store_loads = available.saturating_sub(awaited_loads);
         drop(tracker);
         let planned = plan(spec, &views, &demand, store_loads);
         if now.since(self.summary_logged_at) >= SUMMARY_INTERVAL {
@@ -211,8 +213,8 @@
         {
             let mut tracker = self.tracker.lock();
             let engine_orders = tracker.engines.entry(engine.clone()).or_default();
-            assert!(!engine_orders.working, "an engine gets orders from one task at a time");
-            engine_orders.working = true;
+            assert!(!engine_orders.has_task, "an engine gets orders from one task at a time");
+            engine_orders.has_task = true;
             for proposal in proposals.iter().filter(|proposal| proposal.item.adapter.is_none()) {
                 let model = Some(proposal.item.model.clone());
                 match proposal.operation {
--- a/trackfrontd/src/serving/response_relay.rs
+++ b/trackfrontd/src/serving/response_relay.rs
@@ -22,7 +22,7 @@
 };
 
 /// The multiple of the gap target for which a resumable stream may stay silent.
-const SILENCE_GAPS: u32 = 4;
+const SILENCE_GAP_FACTOR: u32 = 4;
 
 /// The outcome of relaying an answer.
 pub enum RelayOutcome {
@@ -219,11 +219,11 @@
     }
 
     /// Returns the time at which a silent stream counts as broken.
-    fn silent_until(&self) -> Instant {
+    fn silence_deadline(&self) -> Instant {
         let job = &self.job;
         match job.route.gap_target {
             Some(gap) if job.route.resumable && self.sends < job.route.max_attempts => {
-                let silence = (gap * SILENCE_GAPS).max(job.route.target);
+                let silence = (gap * SILENCE_GAP_FACTOR).max(job.route.target);
                 job.answer_by.min(job.request_time() + silence)
             }
             _ => job.answer_by,
@@ -234,7 +234,7 @@
     /// events.
     async fn next_piece(&mut self) -> Next {
         loop {
-            let until = self.silent_until();
+            let until = self.silence_deadline();
             match timeout_at(self.job.timer(until), self.body.next()).await {
                 Err(_) if self.job.request_time() >= self.job.answer_by => {
                     return Next::Broken(BrokenAnswer::TimedOut("the stream did not end in time"));
@@ -253,7 +253,7 @@
                 Ok(Some(Ok(piece))) if !self.job.route.resumable => return Next::Piece(piece),
                 Ok(Some(Ok(piece))) => {
                     self.partial.extend_from_slice(&piece);
-                    if let Some(events) = self.whole_events() {
+                    if let Some(events) = self.take_complete_events() {
                         return Next::Piece(events);
                     }
                 }
@@ -262,7 +262,7 @@
     }
 
     /// Removes the complete events from the buffer, and records the identifier of the last one.
-    fn whole_events(&mut self) -> Option<Bytes> {
+    fn take_complete_events(&mut self) -> Option<Bytes> {
         let end = self.partial.windows(2).rposition(|pair| pair == b"\n\n")? + 2;
         let events = self.partial.split_to(end).freeze();
         if let Some(id) = last_event_id(&events) {
--- a/trackfrontd/tests/crash_outbox.rs
+++ b/trackfrontd/tests/crash_outbox.rs
@@ -6,7 +6,7 @@
 use trackfront_core::units::Moment;
 use trackfrontd::serving::crashes::outbox::Outbox;
 
-const CAUSE: Fingerprint = Fingerprint(7);
+const REQUEST: Fingerprint = Fingerprint(7);
 
 fn at(ms: u64) -> Moment {
     Moment(Duration::from_millis(ms))
@@ -17,28 +17,28 @@
 /// that of the fourth follows before the report is sent. When the later report replaced the earlier
 /// one, only the few boxes that count the crashes received it.
 #[test]
-fn what_goes_to_all_boxes_does_so_whatever_is_learned_before_it_is_told() {
+fn report_for_all_boxes_is_not_narrowed_before_it_is_sent() {
     let mut outbox = Outbox::default();
-    outbox.add_report(CAUSE, true, at(0));
-    outbox.add_report(CAUSE, false, at(5));
-    assert_eq!(outbox.take_due(at(15)), [(CAUSE, true)]);
+    outbox.add_report(REQUEST, true, at(0));
+    outbox.add_report(REQUEST, false, at(5));
+    assert_eq!(outbox.take_due(at(15)), [(REQUEST, true)]);
 }
 
 #[test]
-fn each_word_is_told_four_times() {
+fn each_report_is_sent_four_times() {
     let mut outbox = Outbox::default();
-    outbox.add_report(CAUSE, false, at(0));
-    let told = (0..100).map(|step| outbox.take_due(at(step * 100)).len());
-    assert_eq!(told.sum::<usize>(), 4);
+    outbox.add_report(REQUEST, false, at(0));
+    let sends = (0..100).map(|step| outbox.take_due(at(step * 100)).len());
+    assert_eq!(sends.sum::<usize>(), 4);
 }
 
 #[test]
-fn an_excuse_is_not_told_once_another_box_has() {
+fn clearance_is_dropped_once_another_box_has_sent_it() {
     let mut outbox = Outbox::default();
-    outbox.add_clearance(CAUSE, at(0));
-    outbox.record_received(CAUSE);
+    outbox.add_clearance(REQUEST, at(0));
+    outbox.record_received(REQUEST);
     assert!(outbox.take_due(at(1_000)).is_empty());
-    outbox.add_report(CAUSE, true, at(2_000));
-    outbox.record_received(CAUSE);
+    outbox.add_report(REQUEST, true, at(2_000));
+    outbox.record_received(REQUEST);
     assert_eq!(outbox.take_due(at(2_000)).len(), 1);
 }
--- a/trackfrontd/tests/order_tracker.rs
+++ b/trackfrontd/tests/order_tracker.rs
@@ -21,7 +21,7 @@
 }
 
 /// An incarnation that started at the given second and holds no models.
-fn run(started: u64) -> KnownServer {
+fn incarnation(started: u64) -> KnownServer {
     let entry = ServerEntry {
         id: format!("x@{started}").into(),
         key: "x".into(),
@@ -50,23 +50,27 @@
 }
 
 #[test]
-fn a_report_of_another_run_is_not_believed_for_its_larger_count() {
-    let seen = |orders: &EngineOrders| view(&run(200), orders, at(2_000)).models;
-    assert_eq!(seen(&reported(Some(100), 7)), models(&[]), "the earlier run held it");
+fn report_of_an_earlier_incarnation_is_ignored_despite_its_higher_sequence() {
+    let seen = |orders: &EngineOrders| view(&incarnation(200), orders, at(2_000)).models;
+    assert_eq!(
+        seen(&reported(Some(100), 7)),
+        models(&[]),
+        "the report is of the earlier incarnation"
+    );
     assert_eq!(seen(&reported(Some(200), 7)), models(&["m"]), "the row is older than the report");
-    assert_eq!(seen(&reported(None, 7)), models(&["m"]), "as where no server says when it started");
+    assert_eq!(seen(&reported(None, 7)), models(&["m"]), "without start times the report counts");
 }
 
 #[test]
-fn an_engine_that_may_get_orders_of_its_earlier_run_gets_no_others() {
+fn unanswered_order_blocks_the_next_incarnation_until_it_expires() {
     let terms = LoadRateTerms { window: Duration::from_secs(5), overage: 1.1 };
     let mut tracker = OrderTracker::new(LoadPacer::new(terms, at(0)));
-    let (first, second) = (run(100).entry, run(200).entry);
+    let (first, second) = (incarnation(100).entry, incarnation(200).entry);
     assert!(!tracker.may_receive_stale_order(&second, at(1_000)));
     tracker.record_unanswered(&first, at(1_000));
     assert!(
         !tracker.may_receive_stale_order(&first, at(1_100)),
-        "its count of orders guards that run"
+        "its order count protects that incarnation"
     );
     assert!(tracker.may_receive_stale_order(&second, at(15_900)));
     assert!(!tracker.may_receive_stale_order(&second, at(16_000)));
