--- a/trackfrontd/src/serving/order_tracker.rs
+++ b/trackfrontd/src/serving/order_tracker.rs
@@ -58,7 +58,7 @@
     /// order meets an empty engine, whose memory fits any load.
     pub fn may_receive_stale_order(&self, server: &ServerEntry, now: Moment) -> bool {
         let unanswered = self.unanswered.get(&server.key);
-        unanswered.is_some_and(|(run, until)| *run != server.id && now < *until)
+        unanswered.is_some_and(|(incarnation, until)| *incarnation != server.id && now < *until)
     }
 
     /// Drops unanswered orders that can no longer be executed.
