--- a/trackfront_core/src/ids.rs
+++ b/trackfront_core/src/ids.rs
@@ -51,7 +51,7 @@
     RegionName
 }
 name_type! {
-    /// The name of a hall (zone).
+    /// The name of a hall (availability zone).
     HallName
 }
 name_type! {
--- a/trackfront_core/src/serving/decode_speed.rs
+++ b/trackfront_core/src/serving/decode_speed.rs
@@ -1,30 +1,30 @@
-//! How long engines take to make a token of an answer, for each model.
+//! The decode time for one token of an answer, by model.
 //!
-//! The figure is time over the tokens that requests were expected to have, not those that they had:
-//! it is used with such expectations only, so what these are off by on the mean is in it.
+//! Times are divided by the expected number of tokens, not by the actual one. They are only ever
+//! multiplied by such expectations, so a systematic error of the expectations cancels out.
 
 use std::collections::HashMap;
 
 use crate::ids::ModelName;
 
-/// The time for one token before any was measured at any model, in milliseconds: a hundred tokens a
-/// second, a round figure that the first measurements replace.
-const FIRST_TOKEN_MS: f64 = 10.0;
+/// The decode time for one token before any measurement, in milliseconds: a hundred tokens a second,
+/// a round figure that the first measurements replace.
+const DEFAULT_TOKEN_MS: f64 = 10.0;
 
-/// What an earlier answer still counts when the next has come: the mean is over the last 20 or so.
-const KEPT_PART: f64 = 0.95;
+/// The factor on the weight of earlier answers with each new one: the mean covers the last 20 or so.
+const DECAY_PER_ANSWER: f64 = 0.95;
 
-/// Answers of one model, or of all, the latest with the most weight.
+/// Decayed sums over the answers of one model, or of all models.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sums {
+struct DecayedSums {
     tokens: f64,
     took_ms: f64,
 }
 
-impl Sums {
+impl DecayedSums {
     fn record(&mut self, tokens: f64, took_ms: f64) {
-        self.tokens = self.tokens * KEPT_PART + tokens;
-        self.took_ms = self.took_ms * KEPT_PART + took_ms;
+        self.tokens = self.tokens * DECAY_PER_ANSWER + tokens;
+        self.took_ms = self.took_ms * DECAY_PER_ANSWER + took_ms;
     }
 
     fn token_ms(&self) -> Option<f64> {
@@ -32,25 +32,25 @@
     }
 }
 
-/// The measured speeds at which answers are made.
+/// The measured decode times.
 #[derive(Debug, Default)]
 pub struct DecodeSpeeds {
-    models: HashMap<ModelName, Sums>,
-    all: Sums,
+    models: HashMap<ModelName, DecayedSums>,
+    all: DecayedSums,
 }
 
 impl DecodeSpeeds {
-    /// Notes that an answer that was expected to have `tokens` took `took_ms` after its first event.
+    /// Records that an answer with an expected length of `tokens` took `took_ms` after its first event.
     pub fn record(&mut self, model: &ModelName, tokens: u32, took_ms: f64) {
         let tokens = f64::from(tokens);
         self.models.entry(model.clone()).or_default().record(tokens, took_ms);
         self.all.record(tokens, took_ms);
     }
 
-    /// Returns the time for one token of `model`, in milliseconds; for a model that was not measured
-    /// yet the mean of those that were.
+    /// Returns the time for one token of `model`, in milliseconds, or the mean over all models if this
+    /// one was not measured yet.
     pub fn token_ms(&self, model: &ModelName) -> f64 {
-        let measured = self.models.get(model).and_then(Sums::token_ms);
-        measured.or_else(|| self.all.token_ms()).unwrap_or(FIRST_TOKEN_MS)
+        let measured = self.models.get(model).and_then(DecayedSums::token_ms);
+        measured.or_else(|| self.all.token_ms()).unwrap_or(DEFAULT_TOKEN_MS)
     }
 }
--- a/trackfront_core/src/serving/in_flight.rs
+++ b/trackfront_core/src/serving/in_flight.rs
@@ -1,27 +1,25 @@
-//! What a box has under way at one server, by rank, and what a further request waits for there.
+//! Requests in flight at one server by rank, and the wait that they mean for another request.
 
-/// How many ranks requests have; 0 goes first.
+/// The number of ranks of requests; rank 0 is the most urgent.
 pub const RANKS: usize = 10;
 
-/// The part of less urgent reading that a more urgent request still waits for: an engine does not
-/// drop the piece of a prompt that it is at.
-const LESS_URGENT_PART: f64 = 0.2;
+/// The fraction of less urgent prefill that a more urgent request still waits for: an engine finishes
+/// the prompt chunk that it is processing.
+const LESS_URGENT_PREFILL_FRACTION: f64 = 0.2;
 
-/// What a node has under way at one server for requests of one rank.
+/// The requests of one rank that a box has in flight at one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RankInFlight {
-    /// Requests.
+    /// The number of requests.
     pub requests: u32,
-    /// The time that the server needs to read those of their prompts that are unread, in
-    /// milliseconds.
+    /// The time that the server needs for the outstanding prefill, in milliseconds.
     pub prefill_ms: f64,
-    /// The time that their answers take to be made from beginning to end, in milliseconds: each of
-    /// them has a slot for that long.
+    /// The whole decode time of the answers, in milliseconds: each holds a slot for its part of it.
     pub decode_ms: f64,
 }
 
 impl RankInFlight {
-    pub(super) fn take_off(&mut self, other: &RankInFlight) {
+    pub(super) fn subtract(&mut self, other: &RankInFlight) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.prefill_ms = (self.prefill_ms - other.prefill_ms).max(0.0);
         self.decode_ms = (self.decode_ms - other.decode_ms).max(0.0);
@@ -34,47 +32,46 @@
     }
 }
 
-/// What a node has under way at one server.
+/// The requests that a box has in flight at one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct InFlight {
-    /// By rank.
+    /// The requests of each rank.
     pub by_rank: [RankInFlight; RANKS],
 }
 
 impl InFlight {
-    /// Returns how many requests are under way.
+    /// Returns the number of requests in flight.
     pub fn requests(&self) -> u32 {
         self.by_rank.iter().map(|rank| rank.requests).sum()
     }
 
-    /// Returns the reading that a request of `rank` waits for, in milliseconds.
+    /// Returns the prefill time that a request of `rank` waits for, in milliseconds.
     pub fn prefill_ahead_ms(&self, rank: u8) -> f64 {
-        let (before, after) = self.by_rank.split_at(first_after(rank));
-        let reading =
+        let (ahead, behind) = self.by_rank.split_at(first_less_urgent(rank));
+        let prefill_ms =
             |ranks: &[RankInFlight]| ranks.iter().map(|rank| rank.prefill_ms).sum::<f64>();
-        reading(before) + reading(after) * LESS_URGENT_PART
+        prefill_ms(ahead) + prefill_ms(behind) * LESS_URGENT_PREFILL_FRACTION
     }
 
-    /// Returns how long a request of `rank` waits for one of `slots` slots, in milliseconds. Those
-    /// that are less urgent make way for it.
+    /// Returns how long a request of `rank` waits for one of `slots` slots, in milliseconds. Less
+    /// urgent requests yield their slots to it.
     ///
-    /// With all slots taken one is free each time that a request ends, which is as often as a
-    /// request takes, divided by the number of slots.
+    /// With all slots taken, one becomes free every mean decode time divided by the number of slots.
     pub fn slot_wait_ms(&self, rank: u8, slots: u32) -> f64 {
         let slots = slots.max(1);
-        let before = &self.by_rank[..first_after(rank)];
-        let requests: u32 = before.iter().map(|rank| rank.requests).sum();
+        let ahead = &self.by_rank[..first_less_urgent(rank)];
+        let requests: u32 = ahead.iter().map(|rank| rank.requests).sum();
         if requests < slots {
             return 0.0;
         }
-        let taken_ms: f64 = before.iter().map(|rank| rank.decode_ms).sum();
-        let mean_ms = taken_ms / f64::from(requests);
+        let decode_ms: f64 = ahead.iter().map(|rank| rank.decode_ms).sum();
+        let mean_ms = decode_ms / f64::from(requests);
         f64::from(requests - slots + 1) * mean_ms / f64::from(slots)
     }
 
-    pub(super) fn take_off(&mut self, other: &InFlight) {
+    pub(super) fn subtract(&mut self, other: &InFlight) {
         for (sum, less) in self.by_rank.iter_mut().zip(&other.by_rank) {
-            sum.take_off(less);
+            sum.subtract(less);
         }
     }
 
@@ -84,8 +81,8 @@
         }
     }
 
-    /// Adds requests of which only the number is known: they are taken for such as most of the known
-    /// ones are, or for the most urgent if none is known.
+    /// Adds requests of which only the number is known. They get the rank that most known requests
+    /// have, or the most urgent rank if none is known.
     pub(super) fn add_unknown(&mut self, requests: u32) {
         let most = self.by_rank.iter_mut().rev().max_by_key(|rank| rank.requests);
         let most = most.expect("there are ranks");
@@ -95,7 +92,7 @@
     }
 }
 
-/// Returns the first rank that is less urgent than `rank`.
-fn first_after(rank: u8) -> usize {
+/// Returns the index of the first rank that is less urgent than `rank`.
+fn first_less_urgent(rank: u8) -> usize {
     (usize::from(rank) + 1).min(RANKS)
 }
--- a/trackfront_core/src/serving/load.rs
+++ b/trackfront_core/src/serving/load.rs
@@ -1,9 +1,9 @@
 //! The load of each server as one box knows it.
 //!
-//! Work is counted as time: the milliseconds that an engine needs to read a prompt, and those that a
-//! request has one of its slots for, at the speeds that were measured for the model. A box knows its
-//! own requests exactly, its peers' requests by what they last told, and all requests together by
-//! what servers say in their answers.
+//! Work is counted as time: the milliseconds that an engine needs for the prefill of a prompt, and those
+//! for which a request holds one of its slots, at the speeds measured for the model. A box knows its
+//! own requests exactly, its peers' requests from their latest reports, and the total from the load
+//! that servers report in their answers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,82 +14,82 @@
 pub use crate::serving::in_flight::{InFlight, RANKS, RankInFlight};
 use crate::units::Moment;
 
-/// How long what a peer told of its requests counts.
-const PEER_FIGURES_FOR: Duration = Duration::from_millis(1_500);
+/// How long a peer's report of its requests is valid.
+const PEER_REPORT_TTL: Duration = Duration::from_millis(1_500);
 
-/// How long what a server told of its load counts.
-const TOLD_FOR: Duration = Duration::from_millis(1_000);
+/// How long a server's report of its load is valid.
+const SERVER_REPORT_TTL: Duration = Duration::from_millis(1_000);
 
-/// How long what a server told of its pace counts: it shares its machine with others, and this changes many times a
-/// second.
-const PACE_FOR: Duration = Duration::from_millis(400);
+/// How long a server's report of its pace is valid: the server reports its machine with others, so the
+/// pace changes many times a second.
+const PACE_TTL: Duration = Duration::from_millis(400);
 
 /// The bounds of a pace, as a factor on the usual time.
 const PACE_BOUNDS: (f64, f64) = (0.2, 10.0);
 
-/// The time to read one token of a prompt before any was measured at any model: ten in a
-/// millisecond, a round figure that the first measurements replace.
-const FIRST_TOKEN_COST_MS: f64 = 0.1;
+/// The prefill time of one token before any measurement: ten tokens in a millisecond, a round figure
+/// that the first measurements replace.
+const DEFAULT_PREFILL_MS_PER_TOKEN: f64 = 0.1;
 
-/// The bounds of a measured time to read one token.
-const TOKEN_COST_BOUNDS_MS: (f64, f64) = (0.01, 0.4);
+/// The bounds of a measured prefill time of one token.
+const PREFILL_MS_PER_TOKEN_BOUNDS: (f64, f64) = (0.01, 0.4);
 
 /// The weight of one measurement in a running mean.
 const MEAN_WEIGHT: f64 = 0.08;
 
-/// The bounds of one measurement against what was expected.
-const SURPRISE_BOUNDS: (f64, f64) = (0.3, 3.0);
+/// The bounds of the ratio of one measurement to the expected time.
+const RATIO_BOUNDS: (f64, f64) = (0.3, 3.0);
 
-/// How long a server gets no requests after its first failure; it doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+/// How long a server gets no requests after its first failed connection. Doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
-/// How long such a pause lasts at most.
-const MAX_PAUSE: Duration = Duration::from_secs(2);
+/// The longest time for which a server gets no requests after failed connections.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How much of the share of failed requests one request counts.
-const FAULT_WEIGHT: f64 = 0.15;
+/// The weight of one request in the failure rate.
+const FAILURE_RATE_WEIGHT: f64 = 0.15;
 
-/// The time after which the share of failed requests has halved without requests.
-const FAULT_HALF_LIFE: Duration = Duration::from_secs(2);
+/// The time in which the failure rate halves without requests.
+const FAILURE_RATE_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// What a request asks of an engine.
+/// The work that a request means for an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Work {
-    /// Tokens of the prompt to be read.
+    /// Tokens of the prompt that need prefill.
     pub prompt_tokens: u32,
-    /// Tokens to be made.
+    /// The expected tokens of the answer.
     pub output_tokens: u32,
-    /// The rank.
+    /// The urgency; 0 is the most urgent.
     pub rank: u8,
 }
 
-/// A load that a server told in an answer.
+/// The load that a server reports in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests being worked on.
+    /// Running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Requests in the server's queue.
     pub waiting: u32,
-    /// How many it works on at once.
+    /// The most requests that it runs at once.
     pub slots: u32,
-    /// How long work takes there at this moment, in hundredths of the usual; `None` if it does not say.
+    /// How long work takes there at this moment, in percent of the usual time; `None` if not reported.
     pub pace: Option<u32>,
 }
 
-/// How a request ended at a server.
+/// The outcome of one attempt of a request at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It was answered whole.
+    /// The answer is complete.
     Answered,
-    /// The server said that it did not run it.
+    /// The server reported that it did not run the request.
     Refused,
-    /// Another run of the server answered: the one that was meant has ended.
+    /// Another incarnation of the server answered: the intended one has ended.
     Replaced,
     /// The server could not be reached.
     Unreachable,
-    /// The server broke off, stayed silent or answered with a failure.
+    /// The server broke off its answer, timed out or answered with an error.
     Failed,
-    /// The client left, or the request's time ran out.
+    /// The client disconnected, or the request's deadline passed.
     Abandoned,
 }
 
@@ -97,110 +97,112 @@
 #[derive(Debug, Default)]
 pub struct ServerLoad {
     own: InFlight,
-    /// What all peers have under way here, as far as their word counts.
+    /// The sum over the peers' valid reports.
     peers: InFlight,
-    told: Option<(ReportedLoad, Moment, u32)>,
-    failures: u32,
+    /// The latest report, when it arrived, and the box's own requests in flight then.
+    reported: Option<(ReportedLoad, Moment, u32)>,
+    connect_failures: u32,
     paused_until: Option<Moment>,
     unreachable_since: Option<Moment>,
     replaced: bool,
-    faults: f64,
-    faults_at: Moment,
+    failure_rate: f64,
+    failure_rate_at: Moment,
     mean_call_ms: Option<f64>,
 }
 
 impl ServerLoad {
-    /// Returns this node's own share.
+    /// Returns the requests that this box has in flight at the server.
     pub fn own(&self) -> InFlight {
         self.own
     }
 
-    /// Returns what all nodes have under way here, as far as it is known.
+    /// Returns the known requests of all boxes in flight at the server.
     pub fn total(&self, now: Moment) -> InFlight {
         let mut total = self.own;
         total.add(&self.peers);
-        if let Some((told, at, own_then)) = self.told
-            && now.since(at) < TOLD_FOR
+        if let Some((reported, at, own_then)) = self.reported
+            && now.since(at) < SERVER_REPORT_TTL
         {
             let since = self.own.requests().saturating_sub(own_then);
-            let requests = told.running + told.waiting + since;
+            let requests = reported.running + reported.waiting + since;
             total.add_unknown(requests.saturating_sub(total.requests()));
         }
         total
     }
 
-    /// Returns how many requests waited at the server by its last word, if that is recent.
+    /// Returns the server's reported queue length; zero without a recent report.
     pub fn waiting(&self, now: Moment) -> u32 {
-        match self.told {
-            Some((told, at, _)) if now.since(at) < TOLD_FOR => told.waiting,
+        match self.reported {
+            Some((reported, at, _)) if now.since(at) < SERVER_REPORT_TTL => reported.waiting,
             _ => 0,
         }
     }
 
-    /// Returns by how much work takes longer there than usual by its last word, if that is recent.
+    /// Returns the reported time that work takes there as a factor on the usual time; 1 without a recent
+    /// report.
     pub fn pace(&self, now: Moment) -> f64 {
         let (low, high) = PACE_BOUNDS;
-        match self.told {
-            Some((ReportedLoad { pace: Some(pace), .. }, at, _)) if now.since(at) < PACE_FOR => {
+        match self.reported {
+            Some((ReportedLoad { pace: Some(pace), .. }, at, _)) if now.since(at) < PACE_TTL => {
                 (f64::from(pace) / 100.0).clamp(low, high)
             }
             _ => 1.0,
         }
     }
 
-    /// Returns whether the server is spared after failures.
+    /// Returns whether the server gets no requests for now because connections to it failed.
     pub fn is_paused(&self, now: Moment) -> bool {
         self.paused_until.is_some_and(|until| now < until)
     }
 
-    /// Returns whether another run of the server has taken its place.
+    /// Returns whether another incarnation of the server has replaced it.
     pub fn is_replaced(&self) -> bool {
         self.replaced
     }
 
-    /// Returns since when the server could not be reached.
+    /// Returns since when the server has been unreachable.
     pub fn unreachable_since(&self) -> Option<Moment> {
         self.unreachable_since
     }
 
-    /// Returns the share of requests that failed lately, from 0 to 1.
+    /// Returns the fraction of recent requests that failed, from 0 to 1.
     pub fn failure_rate(&self, now: Moment) -> f64 {
-        let halves = now.since(self.faults_at).as_secs_f64() / FAULT_HALF_LIFE.as_secs_f64();
-        self.faults * 0.5f64.powf(halves)
+        let elapsed = now.since(self.failure_rate_at).as_secs_f64();
+        self.failure_rate * 0.5f64.powf(elapsed / FAILURE_RATE_HALF_LIFE.as_secs_f64())
     }
 
-    /// Returns the mean time of a plain call in milliseconds, zero before any was measured: what is
-    /// not known keeps no request away.
+    /// Returns the mean time of a call to a plain service in milliseconds; zero before any measurement,
+    /// so that an unmeasured server still gets requests.
     pub fn mean_call_ms(&self) -> f64 {
         self.mean_call_ms.unwrap_or(0.0)
     }
 
-    fn note_fault(&mut self, failed: bool, now: Moment) {
-        let share = self.failure_rate(now);
-        self.faults = share + FAULT_WEIGHT * (f64::from(u8::from(failed)) - share);
-        self.faults_at = now;
+    fn record_result(&mut self, failed: bool, now: Moment) {
+        let rate = self.failure_rate(now);
+        self.failure_rate = rate + FAILURE_RATE_WEIGHT * (f64::from(u8::from(failed)) - rate);
+        self.failure_rate_at = now;
     }
 
-    fn note_unreachable(&mut self, now: Moment) {
-        let pause = FIRST_PAUSE * 2u32.pow(self.failures.min(6));
-        self.failures += 1;
+    fn mark_unreachable(&mut self, now: Moment) {
+        let backoff = INITIAL_BACKOFF * 2u32.pow(self.connect_failures.min(6));
+        self.connect_failures += 1;
         self.unreachable_since.get_or_insert(now);
-        self.paused_until = Some(now + pause.min(MAX_PAUSE));
+        self.paused_until = Some(now + backoff.min(MAX_BACKOFF));
     }
 
-    fn note_ended(&mut self, now: Moment) {
+    fn mark_ended(&mut self, now: Moment) {
         self.unreachable_since.get_or_insert(now);
-        self.paused_until = Some(now + MAX_PAUSE);
+        self.paused_until = Some(now + MAX_BACKOFF);
     }
 
-    fn note_reachable(&mut self) {
-        self.failures = 0;
+    fn mark_reachable(&mut self) {
+        self.connect_failures = 0;
         self.paused_until = None;
         self.unreachable_since = None;
     }
 }
 
-/// A request that counts at a server. It has to be given back to [`LoadTracker::end`].
+/// A request that is counted in flight at a server until it is passed to [`LoadTracker::end`].
 #[derive(Debug)]
 pub struct TrackedRequest {
     server: BackendId,
@@ -209,38 +211,38 @@
     prefill_ms: f64,
     decode_ms: f64,
     output_tokens: u32,
-    /// How long reading, what is read before it and the wait for a slot should take.
+    /// The expected time of the prefill, of the prefill ahead of it and of the wait for a slot.
     expected_prefill_ms: f64,
-    /// How long the first event should take by the choice of the server, which looks at more.
+    /// The time to the first event as estimated when the server was chosen, which considers more.
     expected_ms: f64,
-    /// Whether there was a free slot, so that the time to the first event is that of reading.
+    /// Whether a slot was free, so that the time to the first event is the prefill time.
     had_slot: bool,
     began: Moment,
     first_event: Option<Moment>,
 }
 
 impl TrackedRequest {
-    /// Returns the server.
+    /// Returns the server that the request counts at.
     pub fn server(&self) -> &BackendId {
         &self.server
     }
 
-    /// Returns how long the first event was expected to take, in milliseconds.
+    /// Returns the expected time to the first event, in milliseconds.
     pub fn expected_ms(&self) -> f64 {
         self.expected_ms
     }
 
-    /// Notes what the choice of the server expected.
-    pub fn expect(&mut self, estimate: Duration) {
+    /// Sets the time to the first event that was estimated when the server was chosen.
+    pub fn set_estimate(&mut self, estimate: Duration) {
         self.expected_ms = estimate.as_secs_f64() * 1_000.0;
     }
 }
 
-/// The load of all servers, and the measured speed of models.
+/// Tracks the load of all servers and the measured speed of models.
 #[derive(Debug, Default)]
 pub struct LoadTracker {
     servers: HashMap<BackendId, ServerLoad>,
-    /// What each peer told last, and when.
+    /// The latest report of each peer, and when it arrived.
     peers: HashMap<u32, (Vec<(BackendId, InFlight)>, Moment)>,
     prefill_ms_per_token: HashMap<ModelName, f64>,
     decode_speeds: DecodeSpeeds,
@@ -248,26 +250,26 @@
 }
 
 impl LoadTracker {
-    /// Returns whether another run of a server has taken its place.
+    /// Returns whether another incarnation of a server has replaced it.
     pub fn is_replaced(&self, id: &BackendId) -> bool {
         self.servers.get(id).is_some_and(ServerLoad::is_replaced)
     }
 
-    /// Returns whether a server is spared after failures.
+    /// Returns whether a server gets no requests for now because connections to it failed.
     pub fn is_paused(&self, id: &BackendId, now: Moment) -> bool {
         self.servers.get(id).is_some_and(|load| load.is_paused(now))
     }
 
-    /// Returns the load of a server; an idle one if nothing is known.
+    /// Returns the load of a server, idle if nothing is known.
     pub fn server(&mut self, id: &BackendId) -> &mut ServerLoad {
         if !self.servers.contains_key(id) {
             self.servers.insert(id.clone(), ServerLoad::default());
         }
-        self.servers.get_mut(id).expect("it was just put in")
+        self.servers.get_mut(id).expect("the entry was just inserted")
     }
 
-    /// Returns the time to read one token of a prompt for `model`, in milliseconds; for one that was
-    /// not measured yet the mean of those that were.
+    /// Returns the prefill time of one token for `model`, in milliseconds, or the mean over the measured
+    /// models if this one was not measured yet.
     pub fn prefill_ms_per_token(&self, model: &ModelName) -> f64 {
         let measured = self.prefill_ms_per_token.get(model).copied();
         measured.unwrap_or_else(|| self.mean_prefill_ms_per_token())
@@ -275,18 +277,18 @@
 
     fn mean_prefill_ms_per_token(&self) -> f64 {
         match self.prefill_ms_per_token.len() {
-            0 => FIRST_TOKEN_COST_MS,
+            0 => DEFAULT_PREFILL_MS_PER_TOKEN,
             models => self.prefill_ms_per_token.values().sum::<f64>() / models as f64,
         }
     }
 
-    /// Returns the time to make an answer of `tokens` tokens, in milliseconds.
+    /// Returns the decode time of an answer of `tokens` tokens, in milliseconds.
     pub fn decode_ms(&self, model: &ModelName, tokens: u32) -> f64 {
         self.decode_speeds.token_ms(model) * f64::from(tokens)
     }
 
-    /// Returns how likely it is that the first event of an answer by a model, or a plain answer, that is
-    /// expected after `estimate` comes within `limit`, from 0 to 1; by whether the server has a free slot.
+    /// Returns the probability, from 0 to 1, that an answer expected after `estimate` arrives within
+    /// `limit`. With `of_model` this is the answer's first event, else the whole answer of a plain service.
     pub fn probability_within(
         &mut self,
         of_model: bool,
@@ -298,7 +300,7 @@
         forecast.within(estimate.as_secs_f64() * 1_000.0, limit.as_secs_f64() * 1_000.0)
     }
 
-    /// Counts a request at a server that works on `slots` at once.
+    /// Counts a request in flight at a server that runs `slots` requests at once.
     pub fn begin(
         &mut self,
         server: &BackendId,
@@ -307,8 +309,8 @@
         work: Work,
         now: Moment,
     ) -> TrackedRequest {
-        let cost = model.map_or(0.0, |model| self.prefill_ms_per_token(model));
-        let prefill_ms = f64::from(work.prompt_tokens) * cost;
+        let ms_per_token = model.map_or(0.0, |model| self.prefill_ms_per_token(model));
+        let prefill_ms = f64::from(work.prompt_tokens) * ms_per_token;
         let decode_ms = model.map_or(0.0, |model| self.decode_ms(model, work.output_tokens));
         let load = self.server(server);
         let total = load.total(now);
@@ -331,46 +333,46 @@
         }
     }
 
-    /// Notes the first event of an answer: the prompt has been read.
-    pub fn first_event(&mut self, counted: &mut TrackedRequest, now: Moment) {
-        self.end_prefill(counted);
-        counted.first_event = Some(now);
-        self.server(&counted.server.clone()).note_reachable();
-        let took_ms = now.since(counted.began).as_secs_f64() * 1_000.0;
-        self.forecasts.of(true, counted.had_slot).record(counted.expected_ms, took_ms);
-        // The time to wait for a slot says nothing of the speed of reading.
-        let Some(model) = counted.model.as_ref().filter(|_| counted.had_slot) else {
+    /// Records the first event of an answer, which ends the prefill.
+    pub fn first_event(&mut self, tracked: &mut TrackedRequest, now: Moment) {
+        self.end_prefill(tracked);
+        tracked.first_event = Some(now);
+        self.server(&tracked.server.clone()).mark_reachable();
+        let took_ms = now.since(tracked.began).as_secs_f64() * 1_000.0;
+        self.forecasts.of(true, tracked.had_slot).record(tracked.expected_ms, took_ms);
+        // With a wait for a slot, the time to the first event says nothing about the prefill speed.
+        let Some(model) = tracked.model.as_ref().filter(|_| tracked.had_slot) else {
             return;
         };
-        let (low, high) = SURPRISE_BOUNDS;
-        let surprise = (took_ms / counted.expected_prefill_ms.max(1.0)).clamp(low, high);
-        let cost = self.prefill_ms_per_token(model) * (1.0 + MEAN_WEIGHT * (surprise - 1.0));
-        let (low, high) = TOKEN_COST_BOUNDS_MS;
-        self.prefill_ms_per_token.insert(model.clone(), cost.clamp(low, high));
-    }
-
-    /// Takes a request off a server's load.
-    pub fn end(&mut self, mut counted: TrackedRequest, ending: AttemptOutcome, now: Moment) {
-        self.end_prefill(&mut counted);
-        let took_ms = now.since(counted.began).as_secs_f64() * 1_000.0;
-        let plain = counted.model.is_none();
-        if plain && ending == AttemptOutcome::Answered {
-            self.forecasts.of(false, counted.had_slot).record(counted.expected_ms, took_ms);
+        let (low, high) = RATIO_BOUNDS;
+        let ratio = (took_ms / tracked.expected_prefill_ms.max(1.0)).clamp(low, high);
+        let ms_per_token = self.prefill_ms_per_token(model) * (1.0 + MEAN_WEIGHT * (ratio - 1.0));
+        let (low, high) = PREFILL_MS_PER_TOKEN_BOUNDS;
+        self.prefill_ms_per_token.insert(model.clone(), ms_per_token.clamp(low, high));
+    }
+
+    /// Removes a request from a server's load and records its outcome.
+    pub fn end(&mut self, mut tracked: TrackedRequest, outcome: AttemptOutcome, now: Moment) {
+        self.end_prefill(&mut tracked);
+        let took_ms = now.since(tracked.began).as_secs_f64() * 1_000.0;
+        let plain = tracked.model.is_none();
+        if plain && outcome == AttemptOutcome::Answered {
+            self.forecasts.of(false, tracked.had_slot).record(tracked.expected_ms, took_ms);
         }
-        if ending == AttemptOutcome::Answered
-            && let (Some(model), Some(first)) = (&counted.model, counted.first_event)
+        if outcome == AttemptOutcome::Answered
+            && let (Some(model), Some(first)) = (&tracked.model, tracked.first_event)
         {
-            let made_ms = now.since(first).as_secs_f64() * 1_000.0;
-            self.decode_speeds.record(model, counted.output_tokens, made_ms);
+            let decoded_ms = now.since(first).as_secs_f64() * 1_000.0;
+            self.decode_speeds.record(model, tracked.output_tokens, decoded_ms);
         }
-        let load = self.server(&counted.server);
-        let own = &mut load.own.by_rank[counted.rank];
+        let load = self.server(&tracked.server);
+        let own = &mut load.own.by_rank[tracked.rank];
         assert!(own.requests > 0, "a request ends once");
-        own.take_off(&RankInFlight { requests: 1, decode_ms: counted.decode_ms, prefill_ms: 0.0 });
-        match ending {
+        own.subtract(&RankInFlight { requests: 1, decode_ms: tracked.decode_ms, prefill_ms: 0.0 });
+        match outcome {
             AttemptOutcome::Answered => {
-                load.note_reachable();
-                load.note_fault(false, now);
+                load.mark_reachable();
+                load.record_result(false, now);
                 if plain {
                     let mean = load
                         .mean_call_ms
@@ -378,78 +380,77 @@
                     load.mean_call_ms = Some(mean);
                 }
             }
-            AttemptOutcome::Refused => load.note_reachable(),
+            AttemptOutcome::Refused => load.mark_reachable(),
             AttemptOutcome::Replaced => load.replaced = true,
-            AttemptOutcome::Unreachable => load.note_unreachable(now),
-            AttemptOutcome::Failed => load.note_fault(true, now),
+            AttemptOutcome::Unreachable => load.mark_unreachable(now),
+            AttemptOutcome::Failed => load.record_result(true, now),
             AttemptOutcome::Abandoned => {}
         }
     }
 
-    /// Notes that a server could not be reached.
+    /// Records that a server could not be reached.
     pub fn mark_unreachable(&mut self, server: &BackendId, now: Moment) {
-        self.server(server).note_unreachable(now);
+        self.server(server).mark_unreachable(now);
     }
 
-    /// Notes that a server has ended, as this box or another found. If its row stays it is tried again after
-    /// [`MAX_PAUSE`]: some go down and up under one identity.
+    /// Records that this box or another found that a server has ended. While its row stays it is tried
+    /// again after [`MAX_BACKOFF`], because some servers restart under the same identity.
     pub fn mark_ended(&mut self, server: &BackendId, now: Moment) {
-        self.server(server).note_ended(now);
+        self.server(server).mark_ended(now);
     }
 
-    /// Notes what a server told of its load.
-    pub fn apply_report(&mut self, server: &BackendId, told: ReportedLoad, now: Moment) {
+    /// Applies a server's report of its load.
+    pub fn apply_report(&mut self, server: &BackendId, reported: ReportedLoad, now: Moment) {
         let load = self.server(server);
-        load.told = Some((told, now, load.own.requests()));
+        load.reported = Some((reported, now, load.own.requests()));
     }
 
-    /// Notes what a peer has under way, at all servers together: what it told before is replaced.
+    /// Applies a peer's report of its requests at all servers, which replaces its previous one.
     pub fn apply_peer_report(
         &mut self,
         peer: u32,
-        shares: Vec<(BackendId, InFlight)>,
+        report: Vec<(BackendId, InFlight)>,
         now: Moment,
     ) {
-        let before = self.peers.remove(&peer).map(|(shares, _)| shares);
-        for (server, share) in before.unwrap_or_default() {
-            self.server(&server).peers.take_off(&share);
+        let previous = self.peers.remove(&peer).map(|(report, _)| report);
+        for (server, in_flight) in previous.unwrap_or_default() {
+            self.server(&server).peers.subtract(&in_flight);
         }
-        for (server, share) in &shares {
-            self.server(server).peers.add(share);
+        for (server, in_flight) in &report {
+            self.server(server).peers.add(in_flight);
         }
-        self.peers.insert(peer, (shares, now));
+        self.peers.insert(peer, (report, now));
     }
 
-    /// Forgets what was heard of peers so long ago that it counts no more. Sums are made anew, so
-    /// that rounding does not pile up.
+    /// Drops expired reports of peers. Sums are computed anew, so that rounding errors do not add up.
     pub fn forget_old(&mut self, now: Moment) {
-        self.peers.retain(|_, (_, at)| now.since(*at) < PEER_FIGURES_FOR);
+        self.peers.retain(|_, (_, at)| now.since(*at) < PEER_REPORT_TTL);
         for load in self.servers.values_mut() {
             load.peers = InFlight::default();
         }
-        let shares = self.peers.values().flat_map(|(shares, _)| shares);
-        for (server, share) in shares {
+        let reports = self.peers.values().flat_map(|(report, _)| report);
+        for (server, in_flight) in reports {
             let load = self.servers.entry(server.clone()).or_default();
-            load.peers.add(share);
+            load.peers.add(in_flight);
         }
     }
 
-    /// Forgets a server, unless a request still counts there.
+    /// Drops a server, unless this box has requests in flight there.
     pub fn forget(&mut self, server: &BackendId) {
         if self.servers.get(server).is_some_and(|load| load.own.requests() == 0) {
             self.servers.remove(server);
         }
     }
 
-    /// Returns this node's own share at each server where it has requests under way.
+    /// Returns this box's requests in flight, by server.
     pub fn own_in_flight(&self) -> impl Iterator<Item = (&BackendId, InFlight)> {
         let busy = self.servers.iter().filter(|(_, load)| load.own.requests() > 0);
         busy.map(|(id, load)| (id, load.own))
     }
 
-    fn end_prefill(&mut self, counted: &mut TrackedRequest) {
-        let prefill_ms = std::mem::take(&mut counted.prefill_ms);
-        let own = &mut self.server(&counted.server.clone()).own.by_rank[counted.rank];
-        own.take_off(&RankInFlight { prefill_ms, ..RankInFlight::default() });
+    fn end_prefill(&mut self, tracked: &mut TrackedRequest) {
+        let prefill_ms = std::mem::take(&mut tracked.prefill_ms);
+        let own = &mut self.server(&tracked.server.clone()).own.by_rank[tracked.rank];
+        own.subtract(&RankInFlight { prefill_ms, ..RankInFlight::default() });
     }
 }
--- a/trackfrontd/src/serving/pipeline/attempt.rs
+++ b/trackfrontd/src/serving/pipeline/attempt.rs
@@ -317,7 +317,7 @@
         let work = self.info.work(choice.cached_tokens, self.rank);
         let slots = choice.server.entry.slots.max(1);
         let mut tracked = node.loads.lock().begin(id, slots, model, work, now);
-        tracked.expect(choice.estimate);
+        tracked.set_estimate(choice.estimate);
         if !self.prefixes.is_empty() {
             node.prompt_memory.lock().record_prefill(&self.prefixes, id, now);
         }
