--- a/trackfront_core/src/serving/choice.rs
+++ b/trackfront_core/src/serving/choice.rs
@@ -1,8 +1,8 @@
-//! Which server gets a request.
+//! Choice of the server for a request.
 //!
-//! The time until the first event is estimated for each server that can answer: what has to be
-//! read before, the prompt's own tokens that are not kept there, the wait for a slot, the way to
-//! another zone, and the risk that a server which failed lately fails again. The shortest time wins.
+//! The time to the first event is estimated for each server that can answer: the prefill ahead of the
+//! request, the prefill of its own uncached tokens, the wait for a slot, the way to another hall, and
+//! the risk that a server which failed recently fails again. The server with the lowest cost is chosen.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,34 +16,35 @@
 use crate::serving::request::{ModelRef, RequestInfo};
 use crate::units::Moment;
 
-/// What the way to another zone costs, in milliseconds; it stands for the bytes as well.
-const OTHER_ZONE_MS: f64 = 4.0;
+/// The cost of sending to another hall, in milliseconds; includes that of the traffic between halls.
+const OTHER_HALL_COST_MS: f64 = 4.0;
 
-/// What a new connection costs, in milliseconds; it stands for the server's work as well.
-const NEW_CONNECTION_MS: f64 = 6.0;
+/// The cost of a new connection, in milliseconds; includes that of the server's work for it.
+const NEW_CONNECTION_COST_MS: f64 = 6.0;
 
-/// What each request at an engine costs a new one, in milliseconds: steps grow with the batch.
-const BATCH_MATE_MS: f64 = 1.5;
+/// The delay that each request in an engine's batch adds for a new one, in milliseconds: decode steps
+/// take longer with a larger batch.
+const BATCHED_REQUEST_MS: f64 = 1.5;
 
-/// What a request that waits at a server costs a new one, in milliseconds.
-const WAITING_MS: f64 = 25.0;
+/// The delay that each request queued at a server adds for a new one, in milliseconds.
+const QUEUED_REQUEST_MS: f64 = 25.0;
 
-/// What a server that fails all requests seems to cost more, in milliseconds.
-const FAULT_MS: f64 = 1_500.0;
+/// The extra cost of a server that fails all requests, in milliseconds; proportional to its failure rate.
+const FAILURE_COST_MS: f64 = 1_500.0;
 
-/// What a server that is cold costs more: others go first while they are not full.
-const COLD_MS: f64 = 100.0;
+/// The extra cost of a cold server, in milliseconds: warm servers are preferred until they are full.
+const COLD_COST_MS: f64 = 100.0;
 
-/// What a server that drains costs more: it is taken only where no other can answer.
-const DRAINING_MS: f64 = 100_000.0;
+/// The extra cost of a draining server, in milliseconds: it is chosen only if no other can answer.
+const DRAINING_COST_MS: f64 = 100_000.0;
 
-/// What a server that was just unreachable costs more.
-const PAUSED_MS: f64 = 1_000_000.0;
+/// The extra cost of a server that was just unreachable, in milliseconds.
+const PAUSED_COST_MS: f64 = 1_000_000.0;
 
-/// The last rank.
+/// The least urgent rank.
 const LEAST_URGENT: u8 = RANKS as u8 - 1;
 
-/// What is asked of the servers.
+/// A request and the conditions under which its server is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
     /// The request.
@@ -52,62 +53,63 @@
     pub prefixes: &'a [Prefix],
     /// The rank of its route.
     pub rank: u8,
-    /// Servers that it was sent to already.
+    /// Servers that already got the request.
     pub tried: &'a [BackendId],
-    /// The node's zone.
+    /// The hall of this box.
     pub hall: &'a HallName,
-    /// Where it may be served.
+    /// The halls and regions where the request may be served.
     pub places: AllowedHalls<'a>,
-    /// How long after the node learned that it drains a server may still be sent what no other can answer.
+    /// How long a server that drains may still get requests that no other can answer, from the moment at
+    /// which this box learned of it.
     pub drain_grace: Duration,
-    /// How long after it may have begun to drain at the latest.
+    /// The same, from the earliest moment at which the server may have begun to drain.
     pub drain_end: Duration,
-    /// The present moment.
+    /// The current time.
     pub now: Moment,
 }
 
-/// The server that gets a request.
+/// The server chosen for a request.
 #[derive(Clone, Debug)]
 pub struct Choice {
     /// The server.
     pub server: Arc<KnownServer>,
-    /// The tokens of the prompt that it likely keeps.
+    /// The tokens of the prompt that are probably in its prefix cache.
     pub cached_tokens: u32,
-    /// The estimated time until the first event.
+    /// The estimated time to the first event.
     pub estimate: Duration,
-    /// Requests waiting there by its own last word.
+    /// The queue length that it reported last.
     pub waiting: u32,
-    /// Requests under way there.
+    /// The known requests in flight there.
     pub requests: u32,
-    /// When it was chosen, by what was known then.
+    /// When it was chosen.
     pub at: Moment,
 }
 
-/// Why no server gets a request.
+/// The reason why no server was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoChoice {
-    /// The service has no server that takes requests.
+    /// The service has no server that accepts requests.
     NoServer,
-    /// It has some, none of them where the request may be served.
+    /// None of its servers is in a hall and region where the request may be served.
     NotAllowed,
-    /// No engine holds the model.
+    /// No engine has the model loaded.
     NoModel,
-    /// Engines hold the model, but none the adapter.
+    /// Engines have the model loaded, but none has the adapter.
     NoAdapter,
-    /// Servers offer what is asked for, but none may get anything more before this moment.
+    /// Servers have the requested item, but none may get another request now.
     Unavailable(Unavailable),
-    /// Every server that offers what is asked for got the request already.
+    /// Every server that has the requested item already got the request.
     AllTried,
 }
 
-/// Why a server may get no request now, though it offers what is asked for.
+/// The cause for which a server with the requested item may get no request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnavailableCause {
-    /// It is cold, and bears no more.
+    /// It is cold, and this box has used up its part of the rate.
     Cold,
-    /// It named a limit, which others use.
+    /// It named a limit, and no permit is available.
     Limited,
-    /// It asked this box to stay away for a while.
+    /// It asked this box to back off.
     BacksOff,
 }
 
@@ -122,12 +124,12 @@
     }
 }
 
-/// Until when a server may get no request, and why.
+/// A server that may get no request for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unavailable {
-    /// Until when.
+    /// When it may get requests again.
     pub until: Moment,
-    /// Why.
+    /// The cause.
     pub cause: UnavailableCause,
 }
 
@@ -145,33 +147,33 @@
     }
 }
 
-/// What is known of servers beside their rows.
+/// State of servers that is not in their rows.
 pub trait ServerView {
-    /// Returns whether `item` is about to leave `server`, which then gets no new requests for it.
+    /// Returns whether `item` is about to be unloaded from `server`, so that new requests for it go elsewhere.
     fn is_withdrawn(&self, server: &BackendId, item: &ModelRef) -> bool;
 
-    /// Returns whether `item` was loaded on `server` though its row does not say so yet.
+    /// Returns whether `item` was loaded on `server` but is not in its row yet.
     fn is_added(&self, server: &BackendId, item: &ModelRef) -> bool;
 
-    /// Returns whether there is an unused connection to `address`.
+    /// Returns whether there is an idle connection to `address`.
     fn is_connected(&self, address: &str) -> bool;
 
-    /// Returns whether `server` is cold, and whether this box may send to it all the same.
+    /// Returns whether `server` is cold, and whether this box may send to it nevertheless.
     fn cold_state(&self, server: &KnownServer) -> ColdState;
 
-    /// Returns since when it has been known that `server` leaves by its own word in an answer.
+    /// Returns when this box learned that `server` leaves, if the server announced that in an answer.
     fn leaving_since(&self, server: &BackendId) -> Option<Moment>;
 
-    /// Returns until when `server` may get nothing by its own word.
+    /// Returns whether a notice of `server` forbids requests to it now, and until when.
     fn unavailable(&self, server: &BackendId) -> Option<Unavailable>;
 }
 
-/// Chooses the server with the shortest estimated time among `servers`.
+/// Chooses the server with the lowest cost among `servers`.
 pub fn choose<'a>(
     query: &Query<'_>,
     servers: impl IntoIterator<Item = &'a Arc<KnownServer>>,
     loads: &mut LoadTracker,
-    memory: &PrefixIndex,
+    cached_prefixes: &PrefixIndex,
     view: &dyn ServerView,
 ) -> Result<Choice, NoChoice> {
     let mut best: Option<(f64, Choice)> = None;
@@ -187,7 +189,7 @@
             continue;
         }
         let cold_state = view.cold_state(server);
-        let lack = match holds(server, query.info.model.as_ref(), view) {
+        let obstacle = match check_loaded(server, query.info.model.as_ref(), view) {
             Ok(()) if query.tried.contains(id) => Some(NoChoice::AllTried),
             Ok(()) => match cold_state {
                 ColdState::Blocked(until) => {
@@ -196,18 +198,18 @@
                 ColdState::Warm | ColdState::Admitting => view.unavailable(id),
             }
             .map(NoChoice::Unavailable),
-            Err(lack) => Some(lack),
+            Err(missing) => Some(missing),
         };
-        if let Some(lack) = lack {
-            reason = closer_reason(reason, lack);
+        if let Some(obstacle) = obstacle {
+            reason = closer_reason(reason, obstacle);
             continue;
         }
-        let (mut cost, choice) = estimate(query, server, loads, memory, view);
+        let (mut cost, choice) = evaluate(query, server, loads, cached_prefixes, view);
         if cold_state == ColdState::Admitting {
-            cost += COLD_MS;
+            cost += COLD_COST_MS;
         }
         if leaving.is_some() || !server.is_ready() {
-            cost += DRAINING_MS;
+            cost += DRAINING_COST_MS;
         }
         if best.as_ref().is_none_or(|(least, _)| cost < *least) {
             best = Some((cost, choice));
@@ -216,21 +218,22 @@
     best.map(|(_, choice)| choice).ok_or(reason)
 }
 
-/// Returns whether a server is sent requests, by its row and by its own word that it leaves, whichever came first.
+/// Returns whether a server accepts requests. A draining row and a leaving notice count alike, from the
+/// earlier of the two.
 fn takes_requests(server: &KnownServer, leaving: Option<Moment>, query: &Query<'_>) -> bool {
     let Some(since) = server.draining_since.into_iter().chain(leaving).min() else {
         return true;
     };
     let was_ready = server.was_ready || server.draining_since.is_none();
-    let may = server.may_drain_since.unwrap_or(since).min(since);
+    let earliest = server.may_drain_since.unwrap_or(since).min(since);
     was_ready
         && query.now.since(since) < query.drain_grace
-        && query.now.since(may) < query.drain_end
+        && query.now.since(earliest) < query.drain_end
 }
 
-/// The lack that is nearest to an answer explains why there is none.
+/// Returns the reason that came closer to a choice, of two unavailable servers the one that is back first.
 fn closer_reason(a: NoChoice, b: NoChoice) -> NoChoice {
-    let nearness = |lack| match lack {
+    let progress = |reason| match reason {
         NoChoice::NoServer => 0,
         NoChoice::NotAllowed => 1,
         NoChoice::NoModel => 2,
@@ -244,12 +247,13 @@
         {
             b
         }
-        _ if nearness(b) > nearness(a) => b,
+        _ if progress(b) > progress(a) => b,
         _ => a,
     }
 }
 
-fn holds(
+/// Returns an error unless `server` has the requested item loaded and is not about to unload it.
+fn check_loaded(
     server: &KnownServer,
     wanted: Option<&ModelRef>,
     view: &dyn ServerView,
@@ -275,17 +279,19 @@
     }
 }
 
-fn estimate(
+/// Returns the cost of sending the request to `server`, in milliseconds, and the choice that this would be.
+fn evaluate(
     query: &Query<'_>,
     server: &Arc<KnownServer>,
     loads: &mut LoadTracker,
-    memory: &PrefixIndex,
+    cached_prefixes: &PrefixIndex,
     view: &dyn ServerView,
 ) -> (f64, Choice) {
     let now = query.now;
     let id = &server.entry.id;
-    let cached_tokens = memory.cached_tokens(query.prefixes, id, now);
-    let token_cost = query.info.model.as_ref().map(|item| loads.prefill_ms_per_token(&item.model));
+    let cached_tokens = cached_prefixes.cached_tokens(query.prefixes, id, now);
+    let ms_per_token =
+        query.info.model.as_ref().map(|item| loads.prefill_ms_per_token(&item.model));
     let load = loads.server(id);
     let total = load.total(now);
     let waiting = load.waiting(now);
@@ -293,43 +299,43 @@
     let slots = server.entry.slots.max(1);
     let requests = total.requests();
     let slot_wait_ms = total.slot_wait_ms(query.rank, slots);
-    let mut estimate = match token_cost {
-        Some(cost) => {
-            let unread = f64::from(query.info.work(cached_tokens, query.rank).prompt_tokens);
+    let mut estimate_ms = match ms_per_token {
+        Some(ms_per_token) => {
+            let uncached = f64::from(query.info.work(cached_tokens, query.rank).prompt_tokens);
             total.prefill_ahead_ms(query.rank)
-                + unread * cost * pace
-                + f64::from(requests) * BATCH_MATE_MS
+                + uncached * ms_per_token * pace
+                + f64::from(requests) * BATCHED_REQUEST_MS
                 + slot_wait_ms
         }
         None => load.mean_call_ms() * pace * f64::from(requests) / f64::from(slots) / 4.0,
     };
-    if token_cost.is_none() && requests >= slots {
+    if ms_per_token.is_none() && requests >= slots {
         let over = f64::from(requests - slots + 1) / f64::from(slots);
-        estimate += load.mean_call_ms() * pace * over + WAITING_MS;
+        estimate_ms += load.mean_call_ms() * pace * over + QUEUED_REQUEST_MS;
     }
-    estimate += f64::from(waiting) * WAITING_MS;
-    // What others wait because it takes a slot before them counts like its own wait. The time of a plain
-    // call itself is expected, but is no reason to go elsewhere: it differs by chance.
-    let own_call_ms = if token_cost.is_none() { load.mean_call_ms() * pace } else { 0.0 };
-    let mut cost = estimate + total.slot_wait_ms(LEAST_URGENT, slots) - slot_wait_ms;
-    if token_cost.is_none() {
-        // What the server itself says of its machine is no chance.
+    estimate_ms += f64::from(waiting) * QUEUED_REQUEST_MS;
+    // The wait that the request causes for less urgent ones costs as much as its own. The duration of a
+    // plain call is part of the estimate but not of the cost: between servers it differs by chance.
+    let own_call_ms = if ms_per_token.is_none() { load.mean_call_ms() * pace } else { 0.0 };
+    let mut cost = estimate_ms + total.slot_wait_ms(LEAST_URGENT, slots) - slot_wait_ms;
+    if ms_per_token.is_none() {
+        // A reported pace is a real difference between servers.
         cost += load.mean_call_ms() * (pace - 1.0);
     }
     if server.entry.hall != *query.hall {
-        cost += OTHER_ZONE_MS;
+        cost += OTHER_HALL_COST_MS;
     }
     if !view.is_connected(&server.entry.address) {
-        cost += NEW_CONNECTION_MS;
+        cost += NEW_CONNECTION_COST_MS;
     }
-    cost += load.failure_rate(now) * FAULT_MS;
+    cost += load.failure_rate(now) * FAILURE_COST_MS;
     if load.is_paused(now) {
-        cost += PAUSED_MS;
+        cost += PAUSED_COST_MS;
     }
     let choice = Choice {
         server: server.clone(),
         cached_tokens,
-        estimate: Duration::from_secs_f64((estimate + own_call_ms) / 1_000.0),
+        estimate: Duration::from_secs_f64((estimate_ms + own_call_ms) / 1_000.0),
         waiting,
         requests,
         at: now,
--- a/trackfront_core/tests/serving/choice.rs
+++ b/trackfront_core/tests/serving/choice.rs
@@ -1,3 +1,5 @@
+//! Choice of the server for a request.
+
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,18 +18,18 @@
 
 use super::support::{at, entry, info, item, known, with_adapter};
 
-/// Notes beside the rows, and connections that are open.
+/// State of servers beside their rows, and open connections.
 #[derive(Default)]
-struct Notes {
+struct TestView {
     withdrawn: HashSet<(String, ModelRef)>,
     added: HashSet<(String, ModelRef)>,
     connected: HashSet<String>,
-    cold: HashMap<String, ColdState>,
+    cold_states: HashMap<String, ColdState>,
     unavailable: HashMap<String, Unavailable>,
     leaving: HashMap<String, Moment>,
 }
 
-impl ServerView for Notes {
+impl ServerView for TestView {
     fn is_withdrawn(&self, server: &BackendId, item: &ModelRef) -> bool {
         self.withdrawn.contains(&(server.to_string(), item.clone()))
     }
@@ -41,7 +43,7 @@
     }
 
     fn cold_state(&self, server: &KnownServer) -> ColdState {
-        self.cold.get(server.entry.id.as_str()).copied().unwrap_or(ColdState::Warm)
+        self.cold_states.get(server.entry.id.as_str()).copied().unwrap_or(ColdState::Warm)
     }
 
     fn leaving_since(&self, server: &BackendId) -> Option<Moment> {
@@ -57,8 +59,8 @@
     servers: Vec<ServerEntry>,
     info: RequestInfo,
     loads: LoadTracker,
-    memory: PrefixIndex,
-    notes: Notes,
+    cached_prefixes: PrefixIndex,
+    view: TestView,
     tried: Vec<BackendId>,
     evacuations: Evacuations,
     regions: BTreeMap<HallName, RegionName>,
@@ -71,8 +73,8 @@
         servers,
         info,
         loads: LoadTracker::default(),
-        memory: PrefixIndex::default(),
-        notes: Notes::default(),
+        cached_prefixes: PrefixIndex::default(),
+        view: TestView::default(),
         tried: Vec::new(),
         evacuations: Evacuations::default(),
         regions: BTreeMap::new(),
@@ -103,14 +105,14 @@
             drain_end: Duration::from_millis(2_000),
             now: at(self.now),
         };
-        choose(&query, servers, &mut self.loads, &self.memory, &self.notes)
+        choose(&query, servers, &mut self.loads, &self.cached_prefixes, &self.view)
     }
 
     fn chosen(&mut self) -> String {
         self.choose().expect("a server").server.entry.id.to_string()
     }
 
-    fn busy(&mut self, id: &str, prompt_tokens: u32) {
+    fn add_load(&mut self, id: &str, prompt_tokens: u32) {
         let work = Work { prompt_tokens, output_tokens: 1, rank: 1 };
         let model = self.info.model.as_ref().map(|item| item.model.clone());
         let _ = self.loads.begin(&id.into(), 4, model.as_ref(), work, at(self.now));
@@ -118,94 +120,98 @@
 }
 
 #[test]
-fn the_engine_with_the_least_to_read_is_chosen() {
+fn engine_with_least_prefill_ahead_is_chosen() {
     let servers = vec![entry("x", &["m"]), entry("y", &["m"]), entry("z", &["n"])];
     let mut case = case(servers, info(Some(item("m", None)), 1_000));
-    case.busy("x", 2_000);
+    case.add_load("x", 2_000);
     assert_eq!(case.chosen(), "y");
-    case.busy("y", 9_000);
+    case.add_load("y", 9_000);
     assert_eq!(case.chosen(), "x");
 }
 
 #[test]
-fn a_kept_prompt_is_worth_its_reading_and_no_more() {
+fn cached_prompt_saves_its_prefill_and_no_more() {
     let servers = vec![entry("x", &["m"]), entry("y", &["m"])];
     let mut case = case(servers, info(Some(item("m", None)), 1_000));
     case.info.prompt = vec![PromptPart { id: 1, tokens: 900 }];
     let found = prefixes(&item("m", None), &case.info.prompt);
-    case.memory.record_prefill(&found, &"y".into(), at(0));
-    case.busy("y", 500);
+    case.cached_prefixes.record_prefill(&found, &"y".into(), at(0));
+    case.add_load("y", 500);
     assert_eq!(case.chosen(), "y");
-    case.busy("y", 2_000);
+    case.add_load("y", 2_000);
     assert_eq!(case.chosen(), "x");
 }
 
 #[test]
-fn an_open_connection_breaks_a_tie() {
+fn open_connection_breaks_tie() {
     let servers = vec![entry("x", &["m"]), entry("yy", &["m"])];
     let mut case = case(servers, info(Some(item("m", None)), 1_000));
     let address = case.servers[1].address.clone();
-    case.notes.connected.insert(address);
+    case.view.connected.insert(address);
     assert_eq!(case.chosen(), "yy");
-    case.busy("yy", 1_000);
+    case.add_load("yy", 1_000);
     assert_eq!(case.chosen(), "x");
 }
 
 #[test]
-fn the_lack_that_is_nearest_to_an_answer_is_named() {
+fn reported_reason_is_the_closest_to_a_choice() {
     let mut missing = case(vec![entry("x", &["n"])], info(Some(item("m", None)), 1));
     assert_eq!(missing.choose().unwrap_err(), NoChoice::NoModel);
     let mut adapter = case(vec![entry("x", &["m"])], info(Some(item("m", Some("a1"))), 1));
     assert_eq!(adapter.choose().unwrap_err(), NoChoice::NoAdapter);
-    adapter.notes.added.insert(("x".into(), item("m", Some("a1"))));
+    adapter.view.added.insert(("x".into(), item("m", Some("a1"))));
     assert_eq!(adapter.chosen(), "x");
     adapter.tried.push("x".into());
     assert_eq!(adapter.choose().unwrap_err(), NoChoice::AllTried);
     let mut refused = case(vec![entry("x", &["m"]), entry("y", &["n"])], info(None, 1));
     refused.info.model = Some(item("m", None));
     refused.tried.push("x".into());
-    assert_eq!(refused.choose().unwrap_err(), NoChoice::AllTried, "x holds the model");
+    assert_eq!(refused.choose().unwrap_err(), NoChoice::AllTried, "x has the model loaded");
     refused.tried = vec!["y".into()];
     refused.servers.remove(0);
-    assert_eq!(refused.choose().unwrap_err(), NoChoice::NoModel, "y does not");
+    assert_eq!(refused.choose().unwrap_err(), NoChoice::NoModel, "y does not have it");
 }
 
 #[test]
-fn what_is_about_to_leave_gets_no_new_requests() {
+fn withdrawn_item_gets_no_new_requests() {
     let mut server = entry("x", &["m"]);
     server.models = with_adapter(server.models, "m", "a1");
     let mut case = case(vec![server], info(Some(item("m", Some("a1"))), 1));
     assert_eq!(case.chosen(), "x");
-    case.notes.withdrawn.insert(("x".into(), item("m", Some("a1"))));
+    case.view.withdrawn.insert(("x".into(), item("m", Some("a1"))));
     assert_eq!(case.choose().unwrap_err(), NoChoice::NoAdapter);
-    case.notes.withdrawn.insert(("x".into(), item("m", None)));
+    case.view.withdrawn.insert(("x".into(), item("m", None)));
     assert_eq!(case.choose().unwrap_err(), NoChoice::NoModel);
 }
 
 #[test]
-fn a_draining_server_is_the_last_resort_and_only_for_a_while() {
+fn draining_server_is_last_resort_within_grace_period() {
     let mut leaving = entry("x", &["m"]);
     let ready = leaving.clone();
     leaving.state = ServerState::Draining { remaining: None };
     let mut case = case(vec![leaving.clone()], info(Some(item("m", None)), 1));
-    assert_eq!(case.choose().unwrap_err(), NoChoice::NoServer, "it may have drained for long");
+    assert_eq!(
+        case.choose().unwrap_err(),
+        NoChoice::NoServer,
+        "it may have been draining for long"
+    );
     case.servers = vec![ready, leaving];
     assert_eq!(case.chosen(), "x");
     case.servers.push(entry("y", &["m"]));
-    case.busy("y", 50_000);
-    assert_eq!(case.chosen(), "y", "any that stays goes before");
+    case.add_load("y", 50_000);
+    assert_eq!(case.chosen(), "y", "any server that stays is preferred");
     case.servers.truncate(2);
     case.now = 801;
     assert_eq!(case.choose().unwrap_err(), NoChoice::NoServer);
 }
 
 #[test]
-fn a_draining_server_that_was_learned_late_gets_nothing() {
+fn draining_server_gets_nothing_if_learned_too_late() {
     let mut leaving = entry("x", &["m"]);
     let ready = leaving.clone();
     leaving.state = ServerState::Draining { remaining: None };
     let mut case = case(vec![ready, leaving], info(Some(item("m", None)), 1));
-    // The list was last known to be the newest 2 s before.
+    // The list of servers was last confirmed 2 s earlier, so the drain may have begun then.
     let mut servers = known(case.servers.clone());
     Arc::make_mut(&mut servers[0]).draining_since = Some(at(2_000));
     case.now = 2_000;
@@ -215,11 +221,11 @@
 }
 
 #[test]
-fn an_engine_whose_place_another_run_took_is_out() {
+fn replaced_engine_is_never_chosen() {
     let mut case = case(vec![entry("x", &["m"])], info(Some(item("m", None)), 1));
     let work = Work::default();
-    let counted = case.loads.begin(&"x".into(), 4, None, work, at(0));
-    case.loads.end(counted, AttemptOutcome::Replaced, at(0));
+    let tracked = case.loads.begin(&"x".into(), 4, None, work, at(0));
+    case.loads.end(tracked, AttemptOutcome::Replaced, at(0));
     case.now = 60_000;
     assert_eq!(case.choose().unwrap_err(), NoChoice::NoServer);
 }
@@ -229,42 +235,42 @@
     let plain = |id: &str| ServerEntry { models: Default::default(), ..entry(id, &[]) };
     let mut case = case(vec![plain("x"), plain("y")], info(None, 0));
     for _ in 0..5 {
-        let counted = case.loads.begin(&"x".into(), 4, None, Work::default(), at(0));
-        case.loads.end(counted, AttemptOutcome::Failed, at(0));
+        let tracked = case.loads.begin(&"x".into(), 4, None, Work::default(), at(0));
+        case.loads.end(tracked, AttemptOutcome::Failed, at(0));
     }
     assert_eq!(case.chosen(), "y");
     case.loads.mark_unreachable(&"y".into(), at(0));
-    assert_eq!(case.chosen(), "x", "one that fails at times is better than one that is away");
+    assert_eq!(case.chosen(), "x", "a failing server is better than an unreachable one");
     case.tried.push("x".into());
-    assert_eq!(case.chosen(), "y", "and one that is away is better than none");
+    assert_eq!(case.chosen(), "y", "an unreachable server is better than none");
 }
 
 #[test]
-fn the_own_zone_is_preferred_until_it_is_busier() {
+fn own_hall_is_preferred_until_it_is_busier() {
     let far = ServerEntry { hall: "b".into(), ..entry("x", &["m"]) };
     let near = entry("yy", &["m"]);
     let mut case = case(vec![far, near], info(Some(item("m", None)), 1_000));
     assert_eq!(case.chosen(), "yy");
-    case.busy("yy", 1_000);
+    case.add_load("yy", 1_000);
     assert_eq!(case.chosen(), "x");
 }
 
 #[test]
-fn an_engine_with_a_free_slot_goes_before_one_that_reads_less() {
+fn free_slot_outweighs_less_prefill() {
     let servers = vec![entry("x", &["m"]), entry("y", &["m"])];
     let mut case = case(servers, info(Some(item("m", None)), 1_000));
-    // All four slots of x are taken for a second each; y has more to read, and free slots.
+    // All four slots of x are taken for a second each; y has more prefill ahead, and free slots.
     let long = Work { prompt_tokens: 0, output_tokens: 100, rank: 1 };
     for _ in 0..4 {
         for id in ["x", "y"] {
             let _ = case.loads.begin(&id.into(), 4, Some(&"m".into()), long, at(0));
         }
     }
-    case.busy("y", 500);
+    case.add_load("y", 500);
     case.servers[1].slots = 8;
     assert_eq!(case.chosen(), "y");
     case.servers[0].slots = 8;
-    assert_eq!(case.chosen(), "x", "with free slots at both, reading decides");
+    assert_eq!(case.chosen(), "x", "with free slots at both, the prefill decides");
 }
 
 fn in_hall(id: &str, hall: &str) -> ServerEntry {
@@ -276,99 +282,104 @@
 }
 
 #[test]
-fn a_hall_that_is_emptied_gets_nothing_until_it_is_used_again() {
+fn evacuated_hall_gets_nothing_until_it_is_used_again() {
     let servers = vec![in_hall("x", "a"), in_hall("y", "b")];
     let mut case = case(servers, info(Some(item("m", None)), 1_000));
-    case.busy("y", 9_000);
+    case.add_load("y", 9_000);
     assert_eq!(case.chosen(), "x");
-    let word = |version, is_evacuated| HallStatus { hall: "a".into(), version, is_evacuated };
-    case.evacuations.apply(&word(5, true), at(0));
+    let status = |version, is_evacuated| HallStatus { hall: "a".into(), version, is_evacuated };
+    case.evacuations.apply(&status(5, true), at(0));
     assert_eq!(case.chosen(), "y");
-    case.evacuations.apply(&word(4, false), at(0));
-    assert_eq!(case.chosen(), "y", "an earlier word that comes late changes nothing");
-    case.evacuations.apply(&HallStatus { hall: "b".into(), ..word(6, true) }, at(0));
+    case.evacuations.apply(&status(4, false), at(0));
+    assert_eq!(case.chosen(), "y", "a late report of an earlier version changes nothing");
+    case.evacuations.apply(&HallStatus { hall: "b".into(), ..status(6, true) }, at(0));
     assert_eq!(case.choose().unwrap_err(), NoChoice::NotAllowed);
-    case.evacuations.apply(&word(7, false), at(0));
+    case.evacuations.apply(&status(7, false), at(0));
     assert_eq!(case.chosen(), "x");
 }
 
 #[test]
-fn what_is_bound_to_regions_goes_to_no_other() {
+fn region_bounds_of_route_and_account_both_apply() {
     let servers = vec![in_hall("x", "a"), in_hall("y", "b"), in_hall("z", "unknown")];
     let mut case = case(servers, info(Some(item("m", None)), 1_000));
     case.regions = BTreeMap::from([("a".into(), "north".into()), ("b".into(), "south".into())]);
     case.bounds[0] = regions(&["south"]);
     assert_eq!(case.chosen(), "y");
     case.tried.push("y".into());
-    assert_eq!(case.choose().unwrap_err(), NoChoice::AllTried, "x and z are no second choice");
+    assert_eq!(case.choose().unwrap_err(), NoChoice::AllTried, "x and z are outside the region");
     case.tried.clear();
     case.bounds = [regions(&["north", "south"]), regions(&["north"])];
     assert_eq!(case.chosen(), "x");
     case.bounds = [regions(&["south"]), regions(&["north"])];
-    assert_eq!(case.choose().unwrap_err(), NoChoice::NotAllowed, "both bind");
+    assert_eq!(case.choose().unwrap_err(), NoChoice::NotAllowed, "both bounds apply");
 }
 
 #[test]
-fn a_cold_server_goes_last_and_gets_nothing_beyond_its_part() {
+fn cold_server_is_last_and_gets_no_more_than_its_rate() {
     let servers = vec![entry("x", &["m"]), entry("y", &["m"])];
     let mut case = case(servers, info(Some(item("m", None)), 100));
-    case.notes.cold.insert("x".into(), ColdState::Admitting);
+    case.view.cold_states.insert("x".into(), ColdState::Admitting);
     assert_eq!(case.chosen(), "y");
-    case.busy("y", 9_000);
-    assert_eq!(case.chosen(), "x", "the other has much to read");
-    case.notes.cold.insert("x".into(), ColdState::Blocked(at(900)));
+    case.add_load("y", 9_000);
+    assert_eq!(case.chosen(), "x", "the other has much prefill ahead");
+    case.view.cold_states.insert("x".into(), ColdState::Blocked(at(900)));
     assert_eq!(case.chosen(), "y");
-    case.notes.cold.insert("y".into(), ColdState::Blocked(at(700)));
+    case.view.cold_states.insert("y".into(), ColdState::Blocked(at(700)));
     let first =
         NoChoice::Unavailable(Unavailable { until: at(700), cause: UnavailableCause::Cold });
-    assert_eq!(case.choose().unwrap_err(), first, "the first that is warm");
+    assert_eq!(case.choose().unwrap_err(), first, "the first that becomes warm");
 }
 
 #[test]
-fn a_server_that_takes_no_more_a_second_is_passed_over_and_the_first_turn_is_told() {
+fn server_at_its_limit_is_skipped_and_earliest_retry_is_reported() {
     let servers = vec![entry("x", &["m"]), entry("y", &["m"]), entry("z", &["m"])];
     let mut case = case(servers, info(Some(item("m", None)), 100));
     let unavailable = |ms, cause| Unavailable { until: at(ms), cause };
-    case.notes.unavailable.insert("x".into(), unavailable(900, UnavailableCause::Limited));
+    case.view.unavailable.insert("x".into(), unavailable(900, UnavailableCause::Limited));
     assert_eq!(case.chosen(), "y");
-    case.notes.unavailable.insert("y".into(), unavailable(400, UnavailableCause::Limited));
-    case.notes.cold.insert("z".into(), ColdState::Blocked(at(700)));
+    case.view.unavailable.insert("y".into(), unavailable(400, UnavailableCause::Limited));
+    case.view.cold_states.insert("z".into(), ColdState::Blocked(at(700)));
     let first = NoChoice::Unavailable(unavailable(400, UnavailableCause::Limited));
-    assert_eq!(case.choose().unwrap_err(), first, "whichever is the first to take one");
+    assert_eq!(case.choose().unwrap_err(), first, "the first that accepts one again");
 }
 
-/// Guards against a row that still says ready, or says later that it drains, and undoes what the server itself said.
+/// A row that still says ready, or that says only later that the server drains, must not override the server's own
+/// notice that it leaves.
 #[test]
-fn a_server_that_says_that_it_leaves_is_the_last_resort_and_only_for_a_while() {
+fn leaving_server_is_last_resort_within_grace_period() {
     let servers = vec![entry("x", &["m"]), entry("y", &["m"])];
     let mut case = case(servers, info(Some(item("m", None)), 100));
-    case.notes.leaving.insert("x".into(), at(0));
+    case.view.leaving.insert("x".into(), at(0));
     case.now = 100;
-    case.busy("y", 9_000);
-    assert_eq!(case.chosen(), "y", "however busy");
+    case.add_load("y", 9_000);
+    assert_eq!(case.chosen(), "y", "it stays, however busy");
     case.tried.push("y".into());
     assert_eq!(case.chosen(), "x", "no other can answer");
     case.now = 800;
-    assert_eq!(case.choose().unwrap_err(), NoChoice::AllTried, "its time is over");
+    assert_eq!(case.choose().unwrap_err(), NoChoice::AllTried, "the grace period is over");
     case.servers[0].state = ServerState::Draining { remaining: None };
-    assert_eq!(case.choose().unwrap_err(), NoChoice::AllTried, "the row comes later");
+    assert_eq!(
+        case.choose().unwrap_err(),
+        NoChoice::AllTried,
+        "a later row does not extend the grace period"
+    );
 }
 
-/// A machine that is shared with others is slow for a moment, which its servers say on each answer.
+/// A server on a shared machine is slow for a moment and reports its pace in each answer.
 #[test]
-fn a_server_that_says_that_it_is_slow_now_is_passed_over_while_that_is_news() {
+fn server_with_slow_pace_is_avoided_while_report_is_recent() {
     let servers = vec![entry("x", &[]), entry("y", &[])];
     let mut case = case(servers, info(None, 0));
     for id in ["x", "y"] {
-        let counted = case.loads.begin(&id.into(), 4, None, Work::default(), at(0));
-        case.loads.end(counted, AttemptOutcome::Answered, at(30));
+        let tracked = case.loads.begin(&id.into(), 4, None, Work::default(), at(0));
+        case.loads.end(tracked, AttemptOutcome::Answered, at(30));
     }
     case.now = 100;
-    assert_eq!(case.chosen(), "x", "nothing tells them apart");
-    let told = |pace| ReportedLoad { running: 0, waiting: 0, slots: 4, pace: Some(pace) };
-    case.loads.apply_report(&"x".into(), told(250), at(100));
-    case.loads.apply_report(&"y".into(), told(100), at(100));
+    assert_eq!(case.chosen(), "x", "both have equal cost");
+    let report = |pace| ReportedLoad { running: 0, waiting: 0, slots: 4, pace: Some(pace) };
+    case.loads.apply_report(&"x".into(), report(250), at(100));
+    case.loads.apply_report(&"y".into(), report(100), at(100));
     assert_eq!(case.chosen(), "y");
     case.now = 1_000;
-    assert_eq!(case.chosen(), "x", "the word is old");
+    assert_eq!(case.chosen(), "x", "the report has expired");
 }
