--- a/trackfront_core/src/lease.rs
+++ b/trackfront_core/src/lease.rs
@@ -1,7 +1,7 @@
-//! The lease on a shard, with a fencing token that only grows.
+//! Leases stored as rows of a table, with a fencing token that only grows.
 //!
-//! No wall clocks are compared. A holder counts its time from before it sent the write that
-//! renewed the lease; another box takes over only after it has itself watched the row
+//! Clocks of different boxes are never compared. A holder counts the lease from before it sent the
+//! write that renewed it; another box takes over only after it has itself observed the row
 //! unchanged for longer than the lease lasts.
 
 // The state machine macro generates items that cannot carry doc comments.
@@ -15,69 +15,69 @@
 use crate::ids::{Fence, NodeId};
 use crate::units::Moment;
 
-/// The share of the lease's time by which a holder stops early, for clocks that run unevenly.
+/// The divisor of a lease's duration for the margin that covers clocks running at different rates.
+/// The holder stops this much early, and a watcher waits this much longer.
 const MARGIN_DIVISOR: u32 = 5;
 
-/// The value of a lease's row.
+/// The stored value of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// The holder; `None` after it was given up.
+    /// The holder; `None` after it released the lease.
     pub holder: Option<NodeId>,
-    /// The fencing token; it grows with each change of holder.
+    /// The fencing token, which grows with each takeover.
     pub fence: Fence,
-    /// How long the lease lasts after each write, in milliseconds.
+    /// The duration of the lease after each write, in milliseconds.
     pub ttl_ms: u64,
 }
 
-/// A lease's row as this box has seen it.
+/// A lease's row as this box last read it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedLease {
     /// The row's version in the table.
     pub version: u64,
     /// The row's value.
     pub row: LeaseRow,
-    /// When this box first saw this version.
+    /// When this box first observed this version.
     pub since: Moment,
 }
 
-/// What happens to a lease.
+/// An input of the lease's state machine.
 #[derive(Clone, Debug)]
 pub enum LeaseEvent {
-    /// The write that takes or renews the lease was applied; it was sent at `sent_at`.
+    /// The write that takes or renews the lease was applied.
     Written {
         /// The fencing token in the row.
         fence: Fence,
         /// When the write was sent.
         sent_at: Moment,
     },
-    /// The row shows another holder or a larger token, or an engine has seen a larger one.
+    /// The row names another holder or a larger token, or an engine has seen a larger token.
     Superseded,
-    /// The present moment.
+    /// Time passes; carries the current moment.
     Tick(Moment),
-    /// The box gives the lease up.
+    /// This box releases the lease.
     Released,
 }
 
-/// A box's view of one lease that it may hold.
+/// The state machine of one lease on a box that may hold it.
 #[derive(Debug)]
 pub struct LeaseHolder {
     ttl: Duration,
     largest: Fence,
 }
 
-/// The life of a lease in one box.
 #[state_machine(
     initial = "LeaseState::watching()",
     state(name = "LeaseState", derive(Debug, Clone, PartialEq, Eq)),
     after_transition = "Self::log_transition"
 )]
 impl LeaseHolder {
-    /// Another box holds the lease, or nobody.
+    /// Another box holds the lease, or none does.
     #[state]
     fn watching(&mut self, event: &LeaseEvent) -> Outcome<LeaseState> {
         match event {
             LeaseEvent::Written { fence, sent_at } => {
-                assert!(*fence > self.largest, "a lease is only taken with a larger token");
+                assert!(*fence > self.largest, "a takeover needs a larger fencing token");
                 self.largest = *fence;
                 Transition(LeaseState::holding(*fence, self.valid_until(*sent_at)))
             }
@@ -85,7 +85,7 @@
         }
     }
 
-    /// This box holds the lease until a moment on its own clock.
+    /// This box holds the lease until a moment of its own clock.
     #[state]
     fn holding(
         &mut self,
@@ -95,7 +95,7 @@
     ) -> Outcome<LeaseState> {
         match event {
             LeaseEvent::Written { fence: written, sent_at } => {
-                assert_eq!(written, fence, "a renewal keeps the token");
+                assert_eq!(written, fence, "a renewal keeps the fencing token");
                 *until = (*until).max(self.valid_until(*sent_at));
                 Handled
             }
@@ -107,25 +107,24 @@
 }
 
 impl LeaseHolder {
-    /// Watches a lease that lasts `ttl` after each write.
+    /// Creates the state machine of a lease that lasts `ttl` after each write.
     pub fn new(ttl: Duration) -> Self {
         Self { ttl, largest: Fence(0) }
     }
 
-    /// Returns the moment until which a lease written at `sent_at` may be used.
+    /// Returns until when the lease may be used if the write was sent at `sent_at`.
     fn valid_until(&self, sent_at: Moment) -> Moment {
         sent_at + (self.ttl - self.ttl / MARGIN_DIVISOR)
     }
 
-    /// Logs one line for each transition.
     fn log_transition(&mut self, from: &LeaseState, to: &LeaseState, _: &mut ()) {
         log::debug!("lease: {from:?} -> {to:?}");
     }
 }
 
 impl LeaseState {
-    /// Returns the fencing token if the lease may be used at `now`. To be asked last thing
-    /// before each send.
+    /// Returns the fencing token if the lease may be used at `now`. Callers check this immediately
+    /// before each send, since the process may have been paused.
     pub fn usable(&self, now: Moment) -> Option<Fence> {
         match self {
             LeaseState::Holding { fence, until } if now < *until => Some(*fence),
@@ -134,9 +133,9 @@
     }
 }
 
-/// Returns the row that would take the lease over for `me`, if that is allowed at `now`:
-/// nobody holds it, or this box has watched one version for longer than it lasts. A box that
-/// lost track of its own lease, as after a lost reply, takes it again under a larger token.
+/// Returns the row that takes the lease over for `me`, if that is allowed at `now`: no box holds
+/// it, or this box has observed the same version for longer than the lease lasts. A box that lost
+/// track of its own lease, for instance after a lost reply, takes it again under a larger token.
 pub fn takeover(
     seen: Option<&ObservedLease>,
     me: &NodeId,
@@ -146,17 +145,18 @@
     takeover_with_quiet_period(seen, me, LeaseTerms { ttl, quiet_period: Duration::ZERO }, now)
 }
 
-/// How long a lease lasts, and how long nothing may happen under it before another holder acts.
+/// The duration of a lease, and the pause between the actions of two holders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTerms {
-    /// How long the lease lasts after each renewal.
+    /// The duration of the lease after each renewal.
     pub ttl: Duration,
-    /// The least time between the last act of one holder and the first of another. Those who are
-    /// acted upon may not check tokens, so the acts themselves have to be apart.
+    /// The minimum time between the last action of one holder and the first of the next. The
+    /// receivers of these actions may not check fencing tokens, so the actions must be separated
+    /// in time.
     pub quiet_period: Duration,
 }
 
-/// As [`takeover`], with a quiet time between holders.
+/// Like [`takeover`], with a quiet period between holders.
 pub fn takeover_with_quiet_period(
     seen: Option<&ObservedLease>,
     me: &NodeId,
@@ -165,7 +165,7 @@
 ) -> Option<LeaseRow> {
     let fence = match seen {
         None => Fence(1),
-        Some(lease) if now.since(lease.since) >= wait_for(lease, me, terms.quiet_period) => {
+        Some(lease) if now.since(lease.since) >= takeover_delay(lease, me, terms.quiet_period) => {
             Fence(lease.row.fence.0 + 1)
         }
         Some(_) => return None,
@@ -173,33 +173,33 @@
     Some(LeaseRow { holder: Some(me.clone()), fence, ttl_ms: terms.ttl.as_millis() as u64 })
 }
 
-/// What the holder of a lease said of its right: when what it may do under one version of the row
-/// ends. Only a write that changes the version can give it more.
+/// A holder's announcement of when its lease ends under one version of the row. Only another
+/// write, which changes the version, can extend it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseAnnouncement {
     /// The version of the row.
     pub version: u64,
-    /// When the right ends, at the latest.
+    /// When the lease ends at the latest.
     pub ends_at: Moment,
 }
 
-/// As [`takeover_with_quiet_period`], but the row need not be watched where its holder said itself when its
-/// right under this very version ends: the quiet time is counted from there.
+/// Like [`takeover_with_quiet_period`], but the row need not be observed if its holder announced
+/// when its lease under this version ends: the quiet period then starts at that moment.
 pub fn takeover_on_announcement(
     seen: Option<&ObservedLease>,
-    word: Option<LeaseAnnouncement>,
+    announcement: Option<LeaseAnnouncement>,
     me: &NodeId,
     terms: LeaseTerms,
     now: Moment,
 ) -> Option<LeaseRow> {
-    let is_over = |lease: &&ObservedLease| {
-        word.is_some_and(|word| {
-            word.version == lease.version
-                && now >= word.ends_at
-                && now.since(word.ends_at) >= terms.quiet_period
+    let is_expired = |lease: &&ObservedLease| {
+        announcement.is_some_and(|announcement| {
+            announcement.version == lease.version
+                && now >= announcement.ends_at
+                && now.since(announcement.ends_at) >= terms.quiet_period
         })
     };
-    match seen.filter(is_over) {
+    match seen.filter(is_expired) {
         Some(lease) => {
             let fence = Fence(lease.row.fence.0 + 1);
             Some(LeaseRow { holder: Some(me.clone()), fence, ttl_ms: terms.ttl.as_millis() as u64 })
@@ -208,15 +208,15 @@
     }
 }
 
-/// How long a version of the row has to be watched unchanged before `me` may take over.
-fn wait_for(lease: &ObservedLease, me: &NodeId, quiet_period: Duration) -> Duration {
+/// Returns how long a version of the row must stay unchanged before `me` may take over.
+fn takeover_delay(lease: &ObservedLease, me: &NodeId, quiet_period: Duration) -> Duration {
     match &lease.row.holder {
         Some(holder) if holder == me => Duration::ZERO,
         None => quiet_period,
         Some(_) => {
-            let lasts = Duration::from_millis(lease.row.ttl_ms);
-            // The margin on this side covers a watcher's clock that runs fast.
-            lasts + lasts / MARGIN_DIVISOR + quiet_period
+            let ttl = Duration::from_millis(lease.row.ttl_ms);
+            // The margin on this side covers a watcher whose clock runs fast.
+            ttl + ttl / MARGIN_DIVISOR + quiet_period
         }
     }
 }
