--- a/trackfront_core/src/serving/config.rs
+++ b/trackfront_core/src/serving/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, services, models and the limits of clients.
+//! The serving configuration: routes, services, models and client limits.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,10 +11,10 @@
 use crate::ids::{AdapterName, ModelName, RegionName, ServiceName};
 use crate::serving::cold::ColdStart;
 
-/// Why a configuration is refused. The one in force stays in force.
+/// Why a configuration is rejected. The one in force then stays in force.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// A route names a service that is not there.
+    /// A route names a service that is not configured.
     #[error("route {route} names the service {service}, which is not configured; add it")]
     UnknownService {
         /// The route's name.
@@ -27,10 +27,10 @@
     BadPrefix {
         /// The route's name.
         route: String,
-        /// The prefix.
+        /// The rejected prefix.
         prefix: String,
     },
-    /// A route sends to no service.
+    /// A route has no service with a weight above 0.
     #[error("route {route} names no service with a weight; give it one")]
     NoTarget {
         /// The route's name.
@@ -41,22 +41,22 @@
     SameRoute {
         /// One route's name.
         first: String,
-        /// The other's.
+        /// The other route's name.
         second: String,
     },
-    /// A client account is wrong.
+    /// The client accounts are invalid.
     #[error(transparent)]
     Account(#[from] AccountError),
 }
 
-/// What may be done with a request of a route.
+/// How often a route's requests may run, and the form of their answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// It may run more than once.
+    /// A request may run more than once.
     Repeatable,
-    /// It may run at most once.
+    /// A request may run at most once.
     Once,
-    /// Its answer is a stream of events.
+    /// The answer is a stream of events.
     Stream,
 }
 
@@ -71,48 +71,48 @@
     }
 }
 
-/// A service that a route sends to.
+/// A service that a route sends requests to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteTarget {
     /// The service.
     pub service: ServiceName,
-    /// Its share of the route's requests, relative to the other targets'.
+    /// The weight of its share of the route's requests, relative to the other targets.
     pub weight: u32,
 }
 
-/// One route.
+/// The rules for requests with one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// The name, for logs.
+    /// The name that logs show.
     pub name: String,
-    /// The host that clients name.
+    /// The host that the requests name.
     pub host: String,
-    /// The start of the path, with a slash at both ends.
+    /// The path prefix, which begins and ends with a slash.
     pub prefix: String,
-    /// What may be done with its requests.
+    /// How often requests may run, and the form of their answers.
     pub kind: RouteKind,
-    /// How long a request may be held at most.
+    /// The maximum time for which a request is held.
     pub timeout: Duration,
-    /// The time within which an answer, or the first event of a stream, earns its full worth.
+    /// The target latency of an answer, or of the first event of a stream.
     pub target: Duration,
-    /// The longest pause between events that is still in time.
+    /// The target for the longest gap between two events of a stream.
     pub gap_target: Option<Duration>,
-    /// The rank; 0 goes first.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// Where its requests go. Never empty.
+    /// The services that handle the requests; never empty.
     pub targets: Vec<RouteTarget>,
-    /// How many servers one request may be sent to.
+    /// The maximum number of servers that one request is sent to.
     pub max_attempts: u32,
-    /// Whether another server may continue a stream that broke off.
+    /// Whether another server may continue an interrupted stream.
     pub resumable: bool,
-    /// Whether its requests need no key, where others do.
+    /// Whether requests need no key even if there are client accounts.
     pub public: bool,
-    /// The only regions in which its requests may be served, if it is bound to some.
+    /// The regions to which its requests are restricted, if any.
     pub regions: Option<BTreeSet<RegionName>>,
 }
 
 impl Route {
-    /// Returns whether a request may be run again after it may have run.
+    /// Returns whether a request that may already have run may be run again.
     pub fn is_idempotent(&self) -> bool {
         match self.kind {
             RouteKind::Repeatable => true,
@@ -121,42 +121,43 @@
         }
     }
 
-    /// Picks the service for a request by its hash, in proportion to the weights.
+    /// Selects the service for a request by its hash, in proportion to the weights.
     pub fn service_for(&self, hash: u64) -> &ServiceName {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
-        let mut place = hash % total.max(1);
+        let mut offset = hash % total.max(1);
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if place < weight {
+            if offset < weight {
                 return &target.service;
             }
-            place -= weight;
+            offset -= weight;
         }
         &self.targets[0].service
     }
 }
 
-/// A model that a service's engines can hold.
+/// A model that the engines of a service can load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ModelSpec {
     /// The name.
     pub name: ModelName,
-    /// The size of the weights in MB.
+    /// The size of the weights, in MB.
     pub weight_mb: f64,
-    /// How long a load from the weight store takes.
+    /// The duration of a load from the weight store.
     pub load_time: Duration,
-    /// How long a load from an engine's own disk takes.
+    /// The duration of a load from the engine's own disk.
     pub disk_load_time: Duration,
-    /// How long a load from an engine's host memory takes.
+    /// The duration of a load from the engine's host memory.
     pub memory_load_time: Duration,
     /// The adapters of the model.
     pub adapters: Vec<AdapterName>,
-    /// The size of one adapter in MB.
+    /// The size of one adapter, in MB.
     pub adapter_mb: f64,
 }
 
 impl ModelSpec {
-    /// Returns how long a load takes on an engine whose host memory and disk keep these models.
+    /// Returns the duration of a load on an engine whose host memory and disk have copies of these
+    /// models.
     pub fn load_time_with(
         &self,
         in_memory: &BTreeSet<ModelName>,
@@ -172,77 +173,78 @@
     }
 }
 
-/// The engines of a service.
+/// The capacity and the models of a service's engines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// How many requests an engine runs at once.
+    /// The number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// The tokens that an engine's memory for prompts holds.
+    /// The capacity of an engine's KV cache, in tokens.
     pub kv_tokens: u64,
-    /// The memory for weights and adapters in MB.
+    /// The memory of an engine for weights and adapters, in MB.
     pub memory_mb: f64,
-    /// How many adapters an engine holds at most.
+    /// The maximum number of adapters on an engine.
     pub adapter_slots: u32,
-    /// How many loads from the weight store may begin a second, over all engines.
+    /// The number of loads from the weight store that may begin per second, over all engines.
     pub loads_per_s: f64,
     /// The models, by name.
     pub models: BTreeMap<ModelName, ModelSpec>,
 }
 
-/// One service.
+/// A service and the properties of its servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// The path of the health check.
+    /// The path of the servers' health check.
     pub health_path: String,
-    /// How many connections one server accepts from all nodes together.
+    /// The number of connections that one server accepts from all boxes together.
     pub connection_limit: u32,
-    /// What a server bears after a start, if that is less than later.
+    /// The reduced load that a server can take after a start, if it is reduced.
     pub cold: Option<ColdStart>,
-    /// The engines' figures; `None` for a plain service.
+    /// The engines of the service; `None` for a plain service.
     pub engine: Option<EngineSpec>,
 }
 
-/// What a client may send, and how long it may take.
+/// The limits on the size and duration of client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientLimits {
-    /// The largest head, in bytes.
+    /// The maximum size of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// The largest body, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// How long a head may take.
+    /// The time within which a request head must arrive.
     pub head_timeout: Duration,
-    /// How long a connection may stay idle.
+    /// The time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
-/// Whose a request is.
+/// The result of checking a request's key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Authentication {
-    /// No account's: it needs no key and shows none that is known.
+    /// The request needs no key and carries no known one.
     Anonymous,
-    /// That of the account that has the key.
+    /// The request carries a key of this account.
     Account(Arc<ClientAccount>),
-    /// Nobody knows: it needs a key and shows none, or one that no account has.
+    /// The request needs a key but carries none, or one that no account has.
     UnknownKey,
 }
 
-/// A whole configuration. One that another box passed on is checked like one that was stored.
+/// A complete, validated configuration. One that another box forwarded is validated like a stored
+/// one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "UncheckedConfig", into = "UncheckedConfig")]
 pub struct ServingConfig {
-    /// The number of the configuration; it only grows.
+    /// The version of the configuration, which only grows.
     pub version: u64,
     /// The services, by name.
     pub services: BTreeMap<ServiceName, ServiceSpec>,
-    /// The limits of clients.
+    /// The limits for client requests.
     pub limits: ClientLimits,
-    /// The client accounts; `None` where requests need no key.
+    /// The client accounts; `None` if requests need no key.
     pub accounts: Option<Accounts>,
-    /// The routes of each host, the longest prefix first.
+    /// The routes of each host, longest prefix first.
     routes: BTreeMap<String, Vec<Arc<Route>>>,
 }
 
-/// What a configuration is made of, before it is checked and indexed.
+/// The serialized form of a configuration, before it is validated and indexed.
 #[derive(Serialize, Deserialize)]
 struct UncheckedConfig {
     version: u64,
@@ -270,7 +272,7 @@
 }
 
 impl ServingConfig {
-    /// Checks and indexes a configuration.
+    /// Validates and indexes a configuration.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -294,13 +296,13 @@
         Ok(Self { version, services, limits, accounts: None, routes: by_host })
     }
 
-    /// Sets the client accounts; with `None` requests need no key.
+    /// Sets the client accounts; with `None`, requests need no key.
     pub fn with_accounts(mut self, accounts: Option<Accounts>) -> Self {
         self.accounts = accounts;
         self
     }
 
-    /// Finds out whose request it is that shows `key` on `route`.
+    /// Determines the client account of a request on `route` that carries `key`.
     pub fn authenticate(&self, route: &Route, key: Option<&KeyHash>) -> Authentication {
         let Some(accounts) = &self.accounts else {
             return Authentication::Anonymous;
@@ -312,13 +314,13 @@
         }
     }
 
-    /// Finds the route of a request: the longest prefix of the host that begins the path.
+    /// Returns the route of a request: the one of the host with the longest matching prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Returns all routes.
+    /// Returns the routes of all hosts.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.routes.values().flatten()
     }
