--- a/trackfront_core/src/serving/directory/change.rs
+++ b/trackfront_core/src/serving/directory/change.rs
@@ -1,34 +1,34 @@
-//! Changes of the servers, as the platform's feed brings them and boxes tell each other.
+//! Changes of servers, as the platform's feed delivers them and boxes exchange them.
 
 use serde::{Deserialize, Serialize};
 
 use super::entry::ServerEntry;
 use crate::ids::{BackendId, ServerKey};
 
-/// A change of one row.
+/// A change of one row of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerChange {
-    /// The row has this content.
+    /// The row was added or updated.
     Set {
         /// The version of the row.
         version: u64,
-        /// What the server says of itself.
+        /// The server's new entry.
         entry: ServerEntry,
     },
-    /// The row is gone.
+    /// The row was removed.
     Removed {
-        /// The version at which it went.
+        /// The version of the removal.
         version: u64,
         /// The key of the row.
         key: ServerKey,
     },
-    /// The row was written by another than its server: it names none to use.
+    /// The row names no usable server, because another writer than that server wrote it.
     Unusable {
         /// The version of the row.
         version: u64,
         /// The key of the row.
         key: ServerKey,
-        /// What is wrong with it, at whoever read it.
+        /// The fault, on the box that read the row; it isn't sent to others.
         #[serde(skip)]
         error: String,
     },
@@ -53,21 +53,22 @@
     }
 }
 
-/// What one directory hands to another that knows the servers up to an earlier version.
+/// An update from one directory to another that knows the servers up to an earlier version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DirectoryUpdate {
     /// All changes after that version.
     Changes(Vec<ServerChange>),
-    /// All servers, with the versions of their rows, since not all changes after that version are known.
+    /// All servers with the versions of their rows, sent if the changes since that version are not
+    /// all known.
     Full(Vec<(u64, ServerEntry)>),
 }
 
-/// What a change did to the directory.
+/// The effect of a change on the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DirectoryEvent {
     /// A server is new.
     Joined(BackendId),
-    /// What a server says of itself has changed.
+    /// The entry of a known server changed.
     Changed(BackendId),
     /// A server began to drain.
     Draining(BackendId),
@@ -76,7 +77,7 @@
 }
 
 impl DirectoryEvent {
-    /// Returns the server that it is about.
+    /// Returns the server concerned.
     pub fn server(&self) -> &BackendId {
         match self {
             DirectoryEvent::Joined(id)
@@ -87,48 +88,55 @@
     }
 }
 
-/// How one came to know changes.
+/// How a box learned of changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeOrigin {
-    /// By following each: they are all that has changed.
+    /// From the feed: they are complete.
     Feed,
-    /// By a listing: they are what differs. What came and went in between is not among them, so they mean something
-    /// only to one that knows the version after which they begin.
+    /// From a comparison with a listing: rows that were added and removed in between are missing,
+    /// so the changes apply only to a directory at exactly the version after which they begin.
     Listing,
 }
 
-/// Changes after one version up to another, as one box tells them to others.
+/// The changes between two versions, as boxes exchange them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedChanges {
-    /// How they are known.
+    /// How the sender learned of them.
     pub origin: ChangeOrigin,
-    /// The version after which they begin.
+    /// The version after which the changes begin.
     pub from: u64,
-    /// The version up to which they reach.
+    /// The version up to which the changes reach.
     pub to: u64,
     /// The changes.
     pub changes: Vec<ServerChange>,
 }
 
 impl ReceivedChanges {
-    /// Returns the word that there is nothing newer than a version, or that there is, to whoever knows less.
+    /// Returns a message without changes, which says that `version` is the newest. A receiver at an
+    /// earlier version learns from it that it lacks changes.
     pub fn empty(version: u64) -> Self {
         Self { origin: ChangeOrigin::Feed, from: version, to: version, changes: Vec::new() }
     }
 
-    /// Returns what may be told of changes that a listing brought: all in one message, or only that there are some.
-    /// One that began with the listing knows of no changes.
-    pub fn from_listing(from: u64, to: u64, changes: Vec<ServerChange>, at_once: usize) -> Self {
-        match from > 0 && changes.len() < at_once {
+    /// Returns the message for changes found by a listing: all of them if they fit into one message
+    /// of fewer than `max_changes`, otherwise only the new version. A box whose first listing this
+    /// is (`from` is 0) doesn't know the changes.
+    pub fn from_listing(
+        from: u64,
+        to: u64,
+        changes: Vec<ServerChange>,
+        max_changes: usize,
+    ) -> Self {
+        match from > 0 && changes.len() < max_changes {
             true => Self { origin: ChangeOrigin::Listing, from, to, changes },
             false => Self::empty(to),
         }
     }
 
-    /// Splits all changes into messages of `at_once` changes or a few more, of which each begins where the one before ends. What has
-    /// one version stays together: whoever takes a message knows all up to the version where it ends, and one that
-    /// comes later shows that it was lost.
-    pub fn into_messages(self, at_once: usize) -> Vec<ReceivedChanges> {
+    /// Splits the changes into consecutive messages of about `max_changes` each. Changes of one
+    /// version stay together, so a receiver of a message knows everything up to the version at its
+    /// end, and a later message reveals that an earlier one was lost.
+    pub fn into_messages(self, max_changes: usize) -> Vec<ReceivedChanges> {
         let ReceivedChanges { origin, from, to, mut changes } = self;
         if origin == ChangeOrigin::Listing {
             return vec![ReceivedChanges { origin, from, to, changes }];
@@ -137,7 +145,7 @@
         let mut messages = Vec::new();
         let mut begin = from;
         loop {
-            let rest = split_off_rest(&mut changes, at_once);
+            let rest = split_off_rest(&mut changes, max_changes);
             let last = changes.last().map_or(to, ServerChange::version);
             let end = if rest.is_empty() { to } else { last.clamp(begin, to) };
             messages.push(ReceivedChanges { origin, from: begin, to: end, changes });
@@ -149,9 +157,9 @@
     }
 }
 
-/// Takes off what goes beyond `at_once`, but for what has the version of the last before.
-fn split_off_rest(changes: &mut Vec<ServerChange>, at_once: usize) -> Vec<ServerChange> {
-    let Some(last) = changes.get(at_once - 1).map(ServerChange::version) else {
+/// Splits off the changes beyond `max_changes`, except those with the version of the last one kept.
+fn split_off_rest(changes: &mut Vec<ServerChange>, max_changes: usize) -> Vec<ServerChange> {
+    let Some(last) = changes.get(max_changes - 1).map(ServerChange::version) else {
         return Vec::new();
     };
     let end = changes.iter().position(|change| change.version() > last);
--- a/trackfront_core/src/serving/directory/entry.rs
+++ b/trackfront_core/src/serving/directory/entry.rs
@@ -1,4 +1,4 @@
-//! What a server says of itself, and what the node knows of it beside.
+//! The entry that a server writes about itself, and the box's record of the server.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,92 +8,94 @@
 use crate::ids::{AdapterName, BackendId, HallName, ModelName, ServerKey, ServiceName};
 use crate::units::Moment;
 
-/// What a server does about new requests, by its own word.
+/// Whether a server accepts new requests, as it reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerState {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It is about to end.
+    /// It is about to stop.
     Draining {
-        /// How long it has, if it is taken away at short notice.
+        /// The time until it stops, if it is reclaimed at short notice.
         remaining: Option<Duration>,
     },
 }
 
-/// A model on an engine.
+/// A model loaded on an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResidentModel {
     /// The version of the weights.
     pub version: u64,
-    /// The adapters that are loaded.
+    /// The adapters that are loaded on top of the model.
     pub adapters: BTreeSet<AdapterName>,
 }
 
-/// The models on an engine.
+/// The models loaded on an engine.
 pub type Residents = BTreeMap<ModelName, ResidentModel>;
 
-/// What a server says of itself.
+/// The entry that a server writes about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEntry {
-    /// The identity of this run of the server; a restart gets a new one.
+    /// The identifier of this incarnation of the server; a restart gets a new one.
     pub id: BackendId,
-    /// The key of its row, which a later run has as well.
+    /// The key of its row, which later incarnations share.
     pub key: ServerKey,
-    /// When this run started, in Unix milliseconds of the server's own clock, if it says so. It tells runs under one
-    /// key apart and is compared with nothing else.
+    /// The start time in Unix milliseconds of the server's own clock, if reported. It only orders
+    /// the incarnations under one key and is never compared with other clocks.
     pub started: Option<u64>,
-    /// The service.
+    /// The service that it belongs to.
     pub service: ServiceName,
-    /// The address, IP and port.
+    /// The IP address and port.
     pub address: String,
     /// The hall that the server runs in.
     pub hall: HallName,
-    /// How many requests it works on at once.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: ServerState,
-    /// How much longer it was cold when it wrote this.
+    /// For how much longer it stays cold, as of the time of writing.
     pub cold_remaining: Duration,
     /// The models that it holds.
     pub models: Residents,
-    /// How many orders it has taken.
+    /// The number of orders that it has accepted.
     pub sequence: u64,
-    /// Models that its host memory keeps a copy of.
+    /// The models of which its host memory has a copy.
     pub in_memory: BTreeSet<ModelName>,
-    /// Models that its disk keeps a copy of.
+    /// The models of which its disk has a copy.
     pub on_disk: BTreeSet<ModelName>,
 }
 
-/// A server as the node knows it.
+/// The box's record of a server.
 #[derive(Clone, Debug)]
 pub struct KnownServer {
-    /// What it last said of itself.
+    /// The server's last entry.
     pub entry: ServerEntry,
     /// The version of its row.
     pub version: u64,
-    /// When the node learned this version.
+    /// When this box learned of this version.
     pub learned_at: Moment,
-    /// When the node learned of the server; the start of time for one that had left and came back.
+    /// When this box first learned of the server; the zero moment for one that left and returned.
     pub first_learned_at: Moment,
-    /// When the node learned that it drains.
+    /// When this box learned that the server drains.
     pub draining_since: Option<Moment>,
-    /// Since when it may drain: when the list without that was last known to be the newest.
+    /// The earliest time at which draining may have begun: when the list in which the server did
+    /// not drain was last known to be current.
     pub may_drain_since: Option<Moment>,
-    /// Whether this node knew it as ready before it drained. If not, it may have drained for long.
+    /// Whether this box knew the server as ready. If not, it may have been draining for long.
     pub was_ready: bool,
-    /// The earlier run that it took the place of, if this node knew one.
+    /// The earlier incarnation that it replaced, if this box knew one.
     pub replaces: Option<BackendId>,
 }
 
 impl ServerEntry {
-    /// Returns whether an earlier run wrote this.
+    /// Returns whether this entry is from an earlier incarnation than the one that started at
+    /// `other`.
     pub fn is_from_earlier_incarnation(&self, other: Option<u64>) -> bool {
         self.started.zip(other).is_some_and(|(own, other)| own < other)
     }
 }
 
 impl KnownServer {
-    /// Returns when a server that drains will be gone, if it said so.
+    /// Returns when a draining server stops, if it reported that.
     pub fn leaves_at(&self) -> Option<Moment> {
         match (self.entry.state, self.draining_since) {
             (ServerState::Draining { remaining: Some(left) }, Some(since)) => Some(since + left),
@@ -101,14 +103,14 @@
         }
     }
 
-    /// Returns until when it is cold by its own row. The row may have been on its way for a while, so it is so no
-    /// longer than that.
+    /// Returns the latest time until which the server is cold, by its own row. The row may have
+    /// been delayed, in which case the server is warm earlier.
     pub fn cold_until(&self) -> Option<Moment> {
         let cold_remaining = self.entry.cold_remaining;
         (!cold_remaining.is_zero()).then(|| self.learned_at + cold_remaining)
     }
 
-    /// Returns whether it takes new requests.
+    /// Returns whether the server accepts new requests.
     pub fn is_ready(&self) -> bool {
         self.entry.state == ServerState::Ready
     }
--- a/trackfront_core/src/serving/directory/index.rs
+++ b/trackfront_core/src/serving/directory/index.rs
@@ -1,7 +1,7 @@
-//! The servers that may be chosen, by service and by the models that they hold.
+//! An index of the servers that may be chosen, by service and by model.
 //!
-//! Kept up to date by each change alone: most move no server, and of thousands of servers listing all anew for those
-//! that do is most of what a small box can do.
+//! Each change updates the index incrementally: most changes move no server, and rebuilding it for
+//! thousands of servers would take most of the capacity of a small box.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,37 +10,40 @@
 use crate::ids::{BackendId, ModelName, ServiceName};
 use crate::units::Moment;
 
-/// Servers in the order of their identifiers.
+/// Servers ordered by identifier.
 type Sorted = Vec<Arc<KnownServer>>;
 
-/// The servers that may be chosen. An address has one server at a time: of several that say that they are there, the one
-/// that was learned of last, as the row of one that crashed stays for a while. Versions do not tell, as what a server
-/// wrote may arrive after its end.
+/// The servers that may be chosen.
+///
+/// An address belongs to one server at a time. Of several servers that claim it, the one that was
+/// discovered last has it, since the row of a crashed server remains for a while. Versions cannot
+/// decide this, because a row can arrive after its server has ended.
 #[derive(Debug, Default)]
 pub struct ServerIndex {
     by_service: HashMap<ServiceName, Sorted>,
     by_model: HashMap<ModelName, Sorted>,
-    /// All servers at each address.
+    /// All servers that claim each address.
     at_address: HashMap<String, Vec<Arc<KnownServer>>>,
 }
 
 impl ServerIndex {
-    /// Returns the servers of a service.
+    /// Returns the servers of a service, ordered by identifier.
     pub fn of_service(&self, service: &ServiceName) -> &[Arc<KnownServer>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the servers whose rows say that they hold a model.
+    /// Returns the servers whose rows report that they hold a model, ordered by identifier.
     pub fn holding(&self, model: &ModelName) -> &[Arc<KnownServer>] {
         self.by_model.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// Puts what a server says now in the place of what it said before.
+    /// Replaces the record `before` of a server with `after`. Either is `None` for a server that is
+    /// added or removed.
     pub fn replace(&mut self, before: Option<&Arc<KnownServer>>, after: Option<&Arc<KnownServer>>) {
         if let (Some(before), Some(after)) = (before, after)
             && before.entry.address == after.entry.address
         {
-            self.relist(&after.entry.address, |servers| {
+            self.reindex(&after.entry.address, |servers| {
                 servers.retain(|known| known.entry.id != before.entry.id);
                 servers.push(after.clone());
             });
@@ -48,61 +51,61 @@
         }
         if let Some(before) = before {
             let id = &before.entry.id;
-            self.relist(&before.entry.address, |servers| {
+            self.reindex(&before.entry.address, |servers| {
                 servers.retain(|known| known.entry.id != *id);
             });
         }
         if let Some(after) = after {
-            self.relist(&after.entry.address, |servers| servers.push(after.clone()));
+            self.reindex(&after.entry.address, |servers| servers.push(after.clone()));
         }
     }
 
-    /// Changes who is at an address, and lists anew those that may be chosen there.
-    fn relist(&mut self, address: &str, change: impl FnOnce(&mut Vec<Arc<KnownServer>>)) {
+    /// Changes the servers that claim an address, and indexes the eligible ones anew.
+    fn reindex(&mut self, address: &str, change: impl FnOnce(&mut Vec<Arc<KnownServer>>)) {
         let mut servers = self.at_address.remove(address).unwrap_or_default();
-        chosen(&servers).for_each(|known| self.take_off(known));
+        eligible(&servers).for_each(|known| self.remove(known));
         change(&mut servers);
-        chosen(&servers).for_each(|known| self.put(known));
+        eligible(&servers).for_each(|known| self.add(known));
         if !servers.is_empty() {
             self.at_address.insert(address.to_owned(), servers);
         }
     }
 
-    fn put(&mut self, known: &Arc<KnownServer>) {
-        insert(self.by_service.entry(known.entry.service.clone()).or_default(), known);
+    fn add(&mut self, known: &Arc<KnownServer>) {
+        insert_sorted(self.by_service.entry(known.entry.service.clone()).or_default(), known);
         for model in known.entry.models.keys() {
-            insert(self.by_model.entry(model.clone()).or_default(), known);
+            insert_sorted(self.by_model.entry(model.clone()).or_default(), known);
         }
     }
 
-    fn take_off(&mut self, known: &Arc<KnownServer>) {
+    fn remove(&mut self, known: &Arc<KnownServer>) {
         if let Some(servers) = self.by_service.get_mut(&known.entry.service) {
-            remove(servers, &known.entry.id);
+            remove_sorted(servers, &known.entry.id);
         }
         for model in known.entry.models.keys() {
             if let Some(servers) = self.by_model.get_mut(model) {
-                remove(servers, &known.entry.id);
+                remove_sorted(servers, &known.entry.id);
             }
         }
     }
 }
 
-/// Returns the servers at one address that may be chosen.
-fn chosen(servers: &[Arc<KnownServer>]) -> impl Iterator<Item = &Arc<KnownServer>> {
+/// Returns the servers at one address that may be chosen: those that were discovered last.
+fn eligible(servers: &[Arc<KnownServer>]) -> impl Iterator<Item = &Arc<KnownServer>> {
     let last =
         servers.iter().map(|known| known.first_learned_at).max().unwrap_or(Moment::default());
     servers.iter().filter(move |known| known.first_learned_at >= last)
 }
 
-fn insert(servers: &mut Sorted, known: &Arc<KnownServer>) {
-    if let Err(place) = position(servers, &known.entry.id) {
-        servers.insert(place, known.clone());
+fn insert_sorted(servers: &mut Sorted, known: &Arc<KnownServer>) {
+    if let Err(index) = position(servers, &known.entry.id) {
+        servers.insert(index, known.clone());
     }
 }
 
-fn remove(servers: &mut Sorted, id: &BackendId) {
-    if let Ok(place) = position(servers, id) {
-        servers.remove(place);
+fn remove_sorted(servers: &mut Sorted, id: &BackendId) {
+    if let Ok(index) = position(servers, id) {
+        servers.remove(index);
     }
 }
 
--- a/trackfront_core/src/serving/directory/mod.rs
+++ b/trackfront_core/src/serving/directory/mod.rs
@@ -1,12 +1,13 @@
-//! The servers that the node knows, from the platform's table.
+//! The servers that the box knows, from the platform's table.
 //!
-//! A table's answers can be late: every change carries a version, and a version never goes back.
-//! A listing that is older than what was already seen is passed over.
+//! Answers of the table can be late, so every change carries a version, and a version never
+//! decreases. A listing older than what is already known is ignored.
 //!
-//! A directory at a version has exactly the servers that the table had then. So it goes on to a later
-//! version only by all changes in between or by a whole listing, and it answers for changes only as far back as
-//! its own record reaches: a listing says what was there, not what had gone before. A box that told what it had
-//! listed as all changes had others keep servers that were gone, for as long as they lived.
+//! A directory at a version has exactly the servers that the table had at that version. It moves to
+//! a later version only by all changes in between or by a full listing, and it answers with changes
+//! only as far back as its own history reaches: a listing says which rows exist, not which were
+//! removed before. A box that reported its first listing as the complete changes since the
+//! beginning left other boxes with removed servers for as long as those boxes ran.
 
 mod change;
 mod entry;
@@ -24,176 +25,185 @@
 use crate::ids::{BackendId, ModelName, ServerKey, ServiceName};
 use crate::units::Moment;
 
-/// How long a server that has left is remembered, so that a late row cannot bring it back.
-const GONE_FOR: Duration = Duration::from_secs(120);
+/// How long a removed server is remembered, so that a late row cannot bring it back.
+const REMOVED_RETENTION: Duration = Duration::from_secs(120);
 
-/// How many heartbeats after a server was found that held models before the node knew of it, the
-/// list may still lack others: each writes its row once in a heartbeat.
-const FILLING_HEARTBEATS: u32 = 2;
+/// The number of heartbeats for which the list may be incomplete after a server was found that held
+/// models before the box knew of it: each server writes its row once per heartbeat.
+const INCOMPLETE_HEARTBEATS: u32 = 2;
 
-/// How long after the platform came back the rows of servers that live are written again.
-const LAPSE_FOR: Duration = Duration::from_millis(2_000);
+/// The time within which live servers rewrite their expired rows once the platform has recovered.
+const EXPIRY_GRACE: Duration = Duration::from_millis(2_000);
 
-/// How many heartbeats the platform has to be away for rows to lapse. After a shorter failure a row
-/// that goes is a server that goes.
+/// The number of heartbeats for which the platform has to fail before rows expire. After a shorter
+/// failure, a removed row means a removed server.
 const OUTAGE_HEARTBEATS: u32 = 2;
 
-/// How recently the platform has to have failed this node itself, so that what a reader says of
-/// lapses holds here: the reader alone may have been cut off.
-const SAME_OUTAGE: Duration = Duration::from_secs(6);
+/// How recently the platform must have failed this box for the grace period of a feed reader to
+/// apply here as well: the reader alone may have been cut off.
+const SHARED_OUTAGE_WINDOW: Duration = Duration::from_secs(6);
 
-/// The servers that the node knows.
+/// The servers that the box knows.
 #[derive(Debug)]
 pub struct Directory {
-    /// How often a server writes its row.
+    /// The interval at which a server writes its row.
     heartbeat: Duration,
     servers: HashMap<BackendId, Arc<KnownServer>>,
-    /// The run under each key.
-    runs: HashMap<ServerKey, BackendId>,
+    /// The current incarnation of each row key.
+    incarnations: HashMap<ServerKey, BackendId>,
     /// The servers that may be chosen.
     index: ServerIndex,
-    /// Servers that left.
-    gone: HashMap<ServerKey, GoneServer>,
-    /// The newest version that any answer named.
+    removed: HashMap<ServerKey, RemovedServer>,
+    /// The newest version that any answer carried.
     newest_version: u64,
     /// The version after which all changes are known.
     complete_after: u64,
-    /// When the list was last known to be the newest.
-    heard_at: Moment,
-    /// When a server was last found that held models before the node knew of it.
-    found_at: Option<Moment>,
-    /// Until when a row that goes may have lapsed while the platform was away.
-    lapse_until: Moment,
-    /// Ready servers whose rows went within that time, and the versions at which they did.
-    lapsed: HashMap<ServerKey, u64>,
+    /// When the list was last known to be current.
+    confirmed_at: Moment,
+    /// When a server was last found that held models before the box knew of it.
+    loaded_server_found_at: Option<Moment>,
+    /// Until when a removed row may merely have expired during an outage of the platform.
+    expiry_grace_until: Moment,
+    /// Ready servers whose rows were removed within the grace period, with the versions of the
+    /// removals.
+    expired: HashMap<ServerKey, u64>,
 }
 
-/// A server that left.
+/// A server whose row was removed.
 #[derive(Clone, Debug)]
-struct GoneServer {
-    /// The version at which it went.
+struct RemovedServer {
+    /// The version of the removal.
     version: u64,
-    /// When that was learned.
-    at: Moment,
-    /// Its last run, if one was known.
-    run: Option<BackendId>,
-    /// When that run had started.
+    /// When this box learned of the removal.
+    learned_at: Moment,
+    /// The last incarnation, if one was known.
+    incarnation: Option<BackendId>,
+    /// The start time of that incarnation.
     started: Option<u64>,
 }
 
 impl Directory {
-    /// Makes an empty one; servers write their rows once in `heartbeat`.
+    /// Creates an empty directory of servers that write their rows once per `heartbeat`.
     pub fn new(heartbeat: Duration) -> Self {
         Self {
             heartbeat,
             servers: HashMap::new(),
-            runs: HashMap::new(),
+            incarnations: HashMap::new(),
             index: ServerIndex::default(),
-            gone: HashMap::new(),
+            removed: HashMap::new(),
             newest_version: 0,
             complete_after: 0,
-            heard_at: Moment::default(),
-            found_at: None,
-            lapse_until: Moment::default(),
-            lapsed: HashMap::new(),
+            confirmed_at: Moment::default(),
+            loaded_server_found_at: None,
+            expiry_grace_until: Moment::default(),
+            expired: HashMap::new(),
         }
     }
 
-    /// Returns the newest version that any answer named.
+    /// Returns the newest version that any answer carried.
     pub fn newest_version(&self) -> u64 {
         self.newest_version
     }
 
-    /// Notes that the list is the newest, by an answer of the platform or the word of one that had it.
+    /// Records that the list is current, by an answer of the platform or of a box that has one.
     pub fn confirm_current(&mut self, now: Moment) {
-        self.heard_at = self.heard_at.max(now);
+        self.confirmed_at = self.confirmed_at.max(now);
     }
 
-    /// Returns a server.
+    /// Returns a server by its identifier.
     pub fn get(&self, id: &BackendId) -> Option<&Arc<KnownServer>> {
         self.servers.get(id)
     }
 
-    /// Returns the servers of a service, in the order of their identifiers.
+    /// Returns the servers of a service, ordered by identifier.
     pub fn of_service(&self, service: &ServiceName) -> &[Arc<KnownServer>] {
         self.index.of_service(service)
     }
 
-    /// Returns the servers whose rows say that they hold a model, in the order of their identifiers.
+    /// Returns the servers whose rows report that they hold a model, ordered by identifier.
     pub fn holding(&self, model: &ModelName) -> &[Arc<KnownServer>] {
         self.index.holding(model)
     }
 
-    /// Returns all servers.
+    /// Returns all servers, in no particular order.
     pub fn all(&self) -> impl Iterator<Item = &Arc<KnownServer>> {
         self.servers.values()
     }
 
-    /// Returns whether the list may still lack servers that hold models: at the system's start, and
-    /// while rows that lapsed come back. What no listed server holds is not missing then.
+    /// Returns whether the list may lack servers that hold models: at the start of the system and
+    /// while expired rows are being rewritten. A model that no listed server holds may then be held
+    /// by an unlisted one.
     pub fn may_be_incomplete(&self, now: Moment) -> bool {
-        self.found_at.is_some_and(|at| now.since(at) < self.heartbeat * FILLING_HEARTBEATS)
+        self.loaded_server_found_at
+            .is_some_and(|at| now.since(at) < self.heartbeat * INCOMPLETE_HEARTBEATS)
     }
 
-    /// Notes that the platform answers again after it failed this node for a while. After an outage
-    /// a ready server whose row went is kept for some time: if it lives, its row comes back.
-    pub fn platform_recovered(&mut self, away: Duration, now: Moment) {
-        if away >= self.heartbeat * OUTAGE_HEARTBEATS {
-            self.lapse_until = self.lapse_until.max(now + LAPSE_FOR);
+    /// Records that the platform answers this box again after failing it for `outage`. After a long
+    /// outage, a ready server whose row was removed is kept for a grace period: if it is alive, it
+    /// writes its row again.
+    pub fn platform_recovered(&mut self, outage: Duration, now: Moment) {
+        if outage >= self.heartbeat * OUTAGE_HEARTBEATS {
+            self.expiry_grace_until = self.expiry_grace_until.max(now + EXPIRY_GRACE);
         }
     }
 
-    /// Notes that a reader says for how long rows may still have lapsed. `failed_at` is when the
-    /// platform last failed this node itself.
-    pub fn extend_expiry_grace(&mut self, left: Duration, failed_at: Option<Moment>, now: Moment) {
-        if failed_at.is_some_and(|at| now.since(at) < SAME_OUTAGE) {
-            self.lapse_until = self.lapse_until.max(now + left.min(LAPSE_FOR));
+    /// Applies the `remaining` grace period for expired rows that a feed reader reports.
+    /// `failed_at` is when the platform last failed this box itself.
+    pub fn extend_expiry_grace(
+        &mut self,
+        remaining: Duration,
+        failed_at: Option<Moment>,
+        now: Moment,
+    ) {
+        if failed_at.is_some_and(|at| now.since(at) < SHARED_OUTAGE_WINDOW) {
+            self.expiry_grace_until =
+                self.expiry_grace_until.max(now + remaining.min(EXPIRY_GRACE));
         }
     }
 
-    /// Returns how long rows that go may still have lapsed.
+    /// Returns for how much longer a removed row may merely have expired.
     pub fn remaining_expiry_grace(&self, now: Moment) -> Duration {
-        self.lapse_until.since(now)
+        self.expiry_grace_until.since(now)
     }
 
-    /// Takes those away whose rows lapsed and did not come back in time.
+    /// Removes the servers whose rows expired and were not rewritten within the grace period.
     pub fn drop_expired_rows(&mut self, now: Moment) -> Vec<DirectoryEvent> {
-        if self.lapsed.is_empty() || now < self.lapse_until {
+        if self.expired.is_empty() || now < self.expiry_grace_until {
             return Vec::new();
         }
-        let lapsed = std::mem::take(&mut self.lapsed);
-        let ended = lapsed.into_iter();
+        let expired = std::mem::take(&mut self.expired);
+        let expired = expired.into_iter();
         let events: Vec<_> =
-            ended.filter_map(|(key, version)| self.remove(version, key, now)).collect();
+            expired.filter_map(|(key, version)| self.remove(version, key, now)).collect();
         events
     }
 
-    /// Takes in all changes of rows since a version that is known, up to `version`. What is not newer than what
-    /// is known changes nothing.
+    /// Applies all changes of rows from a known version up to `version`. Changes that are not newer
+    /// than what is known are ignored.
     pub fn apply(
         &mut self,
         mut changes: Vec<ServerChange>,
         version: u64,
         now: Moment,
     ) -> Vec<DirectoryEvent> {
-        // A server that is not known and not newer had gone before this directory began.
+        // A server that is unknown and not newer was removed before this directory began.
         changes.retain(|change| change.version() > self.newest_version);
         self.apply_all(changes, version, now)
     }
 
-    /// Takes in what another box tells. `None` comes back if changes before those are missing here; nothing is
-    /// changed then.
+    /// Applies changes that another box sent. Returns `None` and changes nothing if earlier changes
+    /// are missing here.
     pub fn apply_received(
         &mut self,
-        told: ReceivedChanges,
+        received: ReceivedChanges,
         now: Moment,
     ) -> Option<Vec<DirectoryEvent>> {
-        let ReceivedChanges { origin, from, to, changes } = told;
+        let ReceivedChanges { origin, from, to, changes } = received;
         if to <= self.newest_version {
             return Some(Vec::new());
         }
         let follows_on = match origin {
-            // All changes since the beginning are what a box of an earlier version says of its first listing.
+            // A box of an earlier release sends its first listing as all changes since version 0.
             ChangeOrigin::Feed => from > 0 && from <= self.newest_version,
             ChangeOrigin::Listing => from == self.newest_version,
         };
@@ -206,8 +216,8 @@
         Some(self.apply(changes, to, now))
     }
 
-    /// Takes in what another box gave that knows the servers at `version`. What is older than what is known changes
-    /// nothing.
+    /// Applies an update from a box that knows the servers at `version`. An update older than what
+    /// is known is ignored.
     pub fn apply_update(
         &mut self,
         update: DirectoryUpdate,
@@ -220,8 +230,8 @@
         }
     }
 
-    /// Takes in all servers as of `version`. An older listing than what was seen changes nothing;
-    /// then `None` comes back.
+    /// Replaces all servers by those of a listing at `version`. Returns `None` and changes nothing
+    /// if the listing is older than what is known.
     pub fn replace(
         &mut self,
         servers: Vec<(u64, ServerEntry)>,
@@ -232,7 +242,7 @@
         self.replace_with_rows(rows.collect(), version, now)
     }
 
-    /// The same with all rows, among which some may name no server.
+    /// Like [`Directory::replace`], for listings that may contain unusable rows.
     pub fn replace_with_rows(
         &mut self,
         rows: Vec<ServerChange>,
@@ -242,7 +252,7 @@
         if version < self.newest_version {
             return None;
         }
-        // What came and went since the version that was known is not in the listing.
+        // The listing lacks rows that were both added and removed since the last known version.
         self.complete_after = version;
         let listed: BTreeSet<&ServerKey> = rows.iter().map(ServerChange::key).collect();
         let mut changes: Vec<ServerChange> = self
@@ -264,24 +274,24 @@
         let events: Vec<_> =
             changes.into_iter().flat_map(|change| self.apply_one(change, now)).collect();
         self.newest_version = self.newest_version.max(version);
-        self.forget_gone(now);
+        self.forget_removed(now);
         events
     }
 
-    /// Forgets servers that left long ago; the record of changes reaches less far back then.
-    fn forget_gone(&mut self, now: Moment) {
+    /// Forgets servers that were removed long ago, which shortens the history of changes.
+    fn forget_removed(&mut self, now: Moment) {
         let complete_after = &mut self.complete_after;
-        self.gone.retain(|_, gone| {
-            let keeps = now.since(gone.at) < GONE_FOR;
+        self.removed.retain(|_, removed| {
+            let keeps = now.since(removed.learned_at) < REMOVED_RETENTION;
             if !keeps {
-                *complete_after = (*complete_after).max(gone.version);
+                *complete_after = (*complete_after).max(removed.version);
             }
             keeps
         });
     }
 
-    /// Returns the changes behind `events`, as of `version`, and the rows that lapsed, for nodes that
-    /// did not see the listing that brought them.
+    /// Returns the changes behind `events` as of `version`, and the expired rows, for boxes that
+    /// did not see the listing that led to these events.
     pub fn changes_for(&self, events: &[DirectoryEvent], version: u64) -> Vec<ServerChange> {
         let change = |event: &DirectoryEvent| {
             let id = event.server();
@@ -289,10 +299,12 @@
                 Some(known) => {
                     Some(ServerChange::Set { version: known.version, entry: known.entry.clone() })
                 }
-                // One whose place a later run took is not gone for the others either: they are told of that.
+                // An incarnation that a later one replaced needs no change of its own: the row of
+                // the later one replaces it on the other boxes too.
                 None => {
-                    let mut gone = self.gone.iter();
-                    let (key, _) = gone.find(|(_, gone)| gone.run.as_ref() == Some(id))?;
+                    let mut removed = self.removed.iter();
+                    let (key, _) =
+                        removed.find(|(_, removed)| removed.incarnation.as_ref() == Some(id))?;
                     Some(ServerChange::Removed { version, key: key.clone() })
                 }
             }
@@ -301,15 +313,16 @@
             version: *version,
             key: key.clone(),
         };
-        events.iter().filter_map(change).chain(self.lapsed.iter().map(gone)).collect()
+        events.iter().filter_map(change).chain(self.expired.iter().map(gone)).collect()
     }
 
-    /// Returns what one that knows the servers up to version `after` lacks: the changes since then, or all
-    /// servers where the record of changes does not reach back to it. Rows that lapsed are among those that went.
+    /// Returns what a box that knows the servers up to version `after` lacks: the changes since
+    /// then, or all servers if the history does not reach back that far. Expired rows count as
+    /// removed.
     pub fn update_since(&self, after: u64) -> DirectoryUpdate {
         if after < self.complete_after {
             let listed =
-                self.servers.values().filter(|known| !self.lapsed.contains_key(&known.entry.key));
+                self.servers.values().filter(|known| !self.expired.contains_key(&known.entry.key));
             return DirectoryUpdate::Full(
                 listed.map(|known| (known.version, known.entry.clone())).collect(),
             );
@@ -317,9 +330,9 @@
         let newer = self.servers.values().filter(|known| known.version > after);
         let set = newer
             .map(|known| ServerChange::Set { version: known.version, entry: known.entry.clone() });
-        let went = self.gone.iter().map(|(key, gone)| (key, gone.version));
-        let lapsed = self.lapsed.iter().map(|(key, version)| (key, *version));
-        let gone = went.chain(lapsed).filter(|(_, version)| *version > after);
+        let removed = self.removed.iter().map(|(key, removed)| (key, removed.version));
+        let expired = self.expired.iter().map(|(key, version)| (key, *version));
+        let gone = removed.chain(expired).filter(|(_, version)| *version > after);
         let gone = gone.map(|(key, version)| ServerChange::Removed { version, key: key.clone() });
         DirectoryUpdate::Changes(set.chain(gone).collect())
     }
@@ -328,28 +341,29 @@
         let event = match change {
             ServerChange::Set { version, entry } => return self.set(version, entry, now),
             ServerChange::Removed { version, key } => self.remove(version, key, now),
-            ServerChange::Unusable { version, key, .. } => self.take_away(version, key, now),
+            ServerChange::Unusable { version, key, .. } => self.remove_now(version, key, now),
         };
         event.into_iter().collect()
     }
 
     fn set(&mut self, version: u64, entry: ServerEntry, now: Moment) -> Vec<DirectoryEvent> {
-        if self.is_older(version, &entry) {
+        if self.is_stale(version, &entry) {
             return Vec::new();
         }
-        self.lapsed.remove(&entry.key);
-        let gone = self.gone.remove(&entry.key);
-        let before = self.runs.get(&entry.key).and_then(|run| self.servers.get(run)).cloned();
+        self.expired.remove(&entry.key);
+        let removed = self.removed.remove(&entry.key);
+        let before = self.incarnations.get(&entry.key).and_then(|id| self.servers.get(id)).cloned();
         let (id, key) = (entry.id.clone(), entry.key.clone());
         let known = match &before {
-            Some(same) if same.entry.id == id => self.next(same, version, entry, now),
+            Some(same) if same.entry.id == id => self.updated(same, version, entry, now),
             _ => {
                 let earlier = before.as_ref().map(|before| before.entry.id.clone());
-                let earlier = earlier.or(gone.as_ref().and_then(|gone| gone.run.clone()));
-                let comes_back = earlier.as_ref() == Some(&id);
-                let first_learned_at = if comes_back { Moment::default() } else { now };
-                let replaces = earlier.filter(|_| !comes_back);
-                self.first(version, entry, now, first_learned_at, replaces)
+                let earlier =
+                    earlier.or(removed.as_ref().and_then(|removed| removed.incarnation.clone()));
+                let returns = earlier.as_ref() == Some(&id);
+                let first_learned_at = if returns { Moment::default() } else { now };
+                let replaces = earlier.filter(|_| !returns);
+                self.discovered(version, entry, now, first_learned_at, replaces)
             }
         };
         let drained_before = before
@@ -365,26 +379,27 @@
         let known = Arc::new(known);
         self.index.replace(before.as_ref(), Some(&known));
         self.servers.insert(id.clone(), known);
-        let ended = self.runs.insert(key, id.clone()).filter(|run| *run != id);
-        let ended = ended.inspect(|run| _ = self.servers.remove(run)).map(DirectoryEvent::Left);
+        let ended = self.incarnations.insert(key, id.clone()).filter(|ended| *ended != id);
+        let ended = ended.inspect(|ended| _ = self.servers.remove(ended)).map(DirectoryEvent::Left);
         ended.into_iter().chain([event]).collect()
     }
 
-    /// Returns whether an entry is not newer than what is known. A server that went comes back only by a row that is
-    /// newer than its going: the platform may have lost it for a while. What an earlier run wrote may come last.
-    fn is_older(&self, version: u64, entry: &ServerEntry) -> bool {
-        let known = self.runs.get(&entry.key).and_then(|run| self.servers.get(run));
-        let gone = self.gone.get(&entry.key);
-        let lapsed_at = self.lapsed.get(&entry.key).copied().unwrap_or(0);
+    /// Returns whether an entry is not newer than what is known. A removed server returns only by a
+    /// row newer than its removal, as the platform may have lost the row for a while. A row of an
+    /// earlier incarnation may arrive last.
+    fn is_stale(&self, version: u64, entry: &ServerEntry) -> bool {
+        let known = self.incarnations.get(&entry.key).and_then(|id| self.servers.get(id));
+        let removed = self.removed.get(&entry.key);
+        let expired_at = self.expired.get(&entry.key).copied().unwrap_or(0);
         known.is_some_and(|known| known.version >= version)
-            || gone.is_some_and(|gone| gone.version >= version)
-            || lapsed_at >= version.max(1)
+            || removed.is_some_and(|removed| removed.version >= version)
+            || expired_at >= version.max(1)
             || known.is_some_and(|known| entry.is_from_earlier_incarnation(known.entry.started))
-            || gone.is_some_and(|gone| entry.is_from_earlier_incarnation(gone.started))
+            || removed.is_some_and(|removed| entry.is_from_earlier_incarnation(removed.started))
     }
 
-    /// Returns a run of which the node knew nothing before.
-    fn first(
+    /// Returns the record of an incarnation that the box did not know.
+    fn discovered(
         &mut self,
         version: u64,
         entry: ServerEntry,
@@ -392,9 +407,9 @@
         first_learned_at: Moment,
         replaces: Option<BackendId>,
     ) -> KnownServer {
-        // A server begins empty, so one that is new here and holds models was missing from the list.
+        // A server starts empty, so an unknown one that holds models was missing from the list.
         if !entry.models.is_empty() {
-            self.found_at = Some(now);
+            self.loaded_server_found_at = Some(now);
         }
         let drains = entry.state != ServerState::Ready;
         KnownServer {
@@ -402,15 +417,15 @@
             learned_at: now,
             first_learned_at,
             draining_since: drains.then_some(now),
-            may_drain_since: drains.then_some(self.heard_at),
+            may_drain_since: drains.then_some(self.confirmed_at),
             was_ready: !drains,
             replaces,
             entry,
         }
     }
 
-    /// Returns a run by its next entry.
-    fn next(
+    /// Returns the record of a known incarnation with its next entry.
+    fn updated(
         &self,
         before: &KnownServer,
         version: u64,
@@ -423,44 +438,45 @@
             learned_at: now,
             first_learned_at: before.first_learned_at,
             draining_since: drains.then(|| before.draining_since.unwrap_or(now)),
-            may_drain_since: drains.then(|| before.may_drain_since.unwrap_or(self.heard_at)),
+            may_drain_since: drains.then(|| before.may_drain_since.unwrap_or(self.confirmed_at)),
             was_ready: !drains || before.was_ready,
             replaces: before.replaces.clone(),
             entry,
         }
     }
 
+    /// Removes a server, or marks its row as expired if the grace period lasts.
     fn remove(&mut self, version: u64, key: ServerKey, now: Moment) -> Option<DirectoryEvent> {
-        let known = self.runs.get(&key).and_then(|run| self.servers.get(run));
+        let known = self.incarnations.get(&key).and_then(|id| self.servers.get(id));
         if known.is_some_and(|known| known.version > version) {
             return None;
         }
-        if now < self.lapse_until && known.is_some_and(|known| known.is_ready()) {
-            self.lapsed.insert(key, version);
+        if now < self.expiry_grace_until && known.is_some_and(|known| known.is_ready()) {
+            self.expired.insert(key, version);
             return None;
         }
-        self.take_away(version, key, now)
+        self.remove_now(version, key, now)
     }
 
-    fn take_away(&mut self, version: u64, key: ServerKey, now: Moment) -> Option<DirectoryEvent> {
-        let known = self.runs.get(&key).and_then(|run| self.servers.get(run));
+    fn remove_now(&mut self, version: u64, key: ServerKey, now: Moment) -> Option<DirectoryEvent> {
+        let known = self.incarnations.get(&key).and_then(|id| self.servers.get(id));
         if known.is_some_and(|known| known.version > version) {
             return None;
         }
-        self.lapsed.remove(&key);
-        let run = self.runs.remove(&key);
-        let known = run.as_ref().and_then(|run| self.servers.remove(run));
+        self.expired.remove(&key);
+        let id = self.incarnations.remove(&key);
+        let known = id.as_ref().and_then(|id| self.servers.remove(id));
         self.index.replace(known.as_ref(), None);
-        let before = self.gone.get(&key);
-        let gone = GoneServer {
+        let before = self.removed.get(&key);
+        let removed = RemovedServer {
             version: before.map_or(version, |before| before.version.max(version)),
-            at: before.map_or(now, |before| before.at),
+            learned_at: before.map_or(now, |before| before.learned_at),
             started: known
                 .as_ref()
                 .map_or(before.and_then(|before| before.started), |known| known.entry.started),
-            run: run.clone().or(before.and_then(|before| before.run.clone())),
+            incarnation: id.clone().or(before.and_then(|before| before.incarnation.clone())),
         };
-        self.gone.insert(key, gone);
-        known.and(run).map(DirectoryEvent::Left)
+        self.removed.insert(key, removed);
+        known.and(id).map(DirectoryEvent::Left)
     }
 }
