--- a/trackfront_core/src/serving/orders.rs
+++ b/trackfront_core/src/serving/orders.rs
@@ -1,8 +1,9 @@
-//! What may be ordered of an engine, and when.
+//! Orders to engines, and the rules for when they may be given.
 //!
-//! Each order names the number of orders that the engine had taken when it reported what it
-//! holds. An engine whose number differs refuses. So an order that arrives late, or is carried out
-//! seconds after it was sent, can only take effect on exactly the memory it was checked against.
+//! Each order carries the number of orders that the engine had accepted when it reported its state,
+//! and an engine whose number differs refuses the order. So an order that arrives late, or is
+//! executed seconds after it was sent, only takes effect on exactly the state it was checked
+//! against.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,24 +16,24 @@
 use crate::serving::request::ModelRef;
 use crate::units::Moment;
 
-/// The loads that may begin at once beyond the steady rate and its overage. The ceiling leaves
+/// The loads that may begin at once beyond the steady rate and its overage. The ceiling allows
 /// three.
-const PACER_BURST: f64 = 2.0;
+const PACER_BURST_LOADS: f64 = 2.0;
 
-/// The part of the overage that is used; the rest covers loads that begin later than ordered.
-const OVERAGE_PART: f64 = 0.6;
+/// The fraction of the overage that is used; the rest covers loads that begin later than ordered.
+const USED_OVERAGE_FRACTION: f64 = 0.6;
 
-/// What an order does.
+/// The action of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Operation {
-    /// Brings a model or an adapter in.
+    /// Loads a model or an adapter.
     Load,
-    /// Takes it out.
+    /// Unloads a model or an adapter.
     Unload,
 }
 
 impl Operation {
-    /// Returns the name used in logs.
+    /// Returns the name for logs.
     pub fn name(self) -> &'static str {
         match self {
             Operation::Load => "load",
@@ -44,39 +45,40 @@
 /// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineOrder {
-    /// What it does.
+    /// The action.
     pub operation: Operation,
-    /// With what.
+    /// The model or adapter to load or unload.
     pub item: ModelRef,
-    /// Who gives it: one name a machine.
+    /// The order lease holder that gives the order, with one name per machine.
     pub holder: String,
-    /// The fencing token of the giver's lease.
+    /// The fencing token of the holder's lease.
     pub fence: Fence,
-    /// How many orders the engine has to have taken before.
+    /// The number of orders that the engine must have accepted before.
     pub expected_sequence: u64,
 }
 
-/// What an engine said of an order.
+/// The outcome of sending an order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is under way.
+    /// The engine accepted the order and executes it.
     Accepted,
-    /// It was done already.
+    /// The order had already been executed.
     AlreadyDone,
-    /// Another is under way, or the number of orders differs.
+    /// Another order is in progress, or the number of orders differs.
     Conflict,
-    /// A larger fencing token was seen.
+    /// The engine has seen a larger fencing token.
     Stale,
-    /// The engine at that address is another one, or it refused for another reason.
+    /// Another engine listens at that address, or the engine refused with this HTTP status.
     Refused(u16),
-    /// Nothing was sent.
+    /// The order was not sent.
     NotSent,
-    /// No answer came: it may be carried out at any later time while its condition holds.
+    /// No answer arrived: the engine may execute the order at any later time while its condition
+    /// holds.
     NoAnswer,
 }
 
 impl OrderAnswer {
-    /// Returns the name used in logs.
+    /// Returns the name for logs.
     pub fn name(&self) -> &'static str {
         match self {
             OrderAnswer::Accepted => "taken",
@@ -90,41 +92,42 @@
     }
 }
 
-/// What an engine reports of itself, as of one moment.
+/// The state that an engine reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineReport {
-    /// How many orders it has taken.
+    /// The number of orders that it has accepted.
     pub sequence: u64,
-    /// What it holds.
+    /// The models and adapters that are loaded.
     pub models: Residents,
-    /// Adapters on their way.
+    /// The adapters that are being loaded.
     pub pending: BTreeSet<(ModelName, AdapterName)>,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub busy: bool,
-    /// Models that its host memory keeps a copy of.
+    /// The models of which its host memory has a copy.
     pub in_memory: BTreeSet<ModelName>,
-    /// Models that its disk keeps a copy of.
+    /// The models of which its disk has a copy.
     pub on_disk: BTreeSet<ModelName>,
-    /// Requests being worked on.
+    /// The number of requests in progress.
     pub running: u32,
-    /// Requests waiting.
+    /// The number of queued requests.
     pub waiting: u32,
-    /// When the run that reports started, if it says so.
+    /// The start time of the reporting incarnation, if it reports one.
     pub started: Option<u64>,
 }
 
 impl EngineReport {
-    /// Returns whether another run than that of `entry` reports: its count of orders began anew.
+    /// Returns whether the report is of another incarnation than `entry`, whose count of orders
+    /// began anew.
     pub fn is_of_other_incarnation(&self, entry: &ServerEntry) -> bool {
         self.started.zip(entry.started).is_some_and(|(own, other)| own != other)
     }
 
-    /// Returns whether a load of `model` takes nothing from the weight store.
+    /// Returns whether `model` can be loaded without the weight store.
     pub fn has_local_copy(&self, model: &ModelName) -> bool {
         self.in_memory.contains(model) || self.on_disk.contains(model)
     }
 
-    /// Returns the memory in use, in MB, adapters on their way included.
+    /// Returns the memory in use, in MB, including adapters that are being loaded.
     pub fn used_mb(&self, spec: &EngineSpec) -> f64 {
         let models = self.models.iter().map(|(name, resident)| {
             let Some(model) = spec.models.get(name) else {
@@ -139,37 +142,41 @@
         models.sum::<f64>() + pending.sum::<f64>()
     }
 
-    /// Returns how many adapters there are, those on their way included.
+    /// Returns the number of adapters, including those that are being loaded.
     pub fn adapter_count(&self) -> usize {
         let loaded: usize = self.models.values().map(|resident| resident.adapters.len()).sum();
         loaded + self.pending.len()
     }
 }
 
-/// Why an order is not given.
+/// Why an order may not be given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum OrderError {
-    /// An order is under way; wait for it.
+    /// An order is in progress.
     #[error("an order is under way; wait for its end")]
     Busy,
-    /// It would not fit.
+    /// The item does not fit into the free memory.
     #[error("there is no room; unload something first")]
     NoRoom,
-    /// There is no place for another adapter.
+    /// All adapter slots are in use.
     #[error("all places for adapters are taken; unload one first")]
     NoSlot,
-    /// The model of the adapter is not there.
+    /// The adapter's model is not loaded.
     #[error("the adapter's model is not there; load it first")]
     NoModel,
-    /// The configuration does not have it.
+    /// The configuration does not contain the model.
     #[error("the configuration does not have it; add it there")]
     NotConfigured,
-    /// It is so already.
+    /// The order would change nothing.
     #[error("it is so already")]
     NoEffect,
 }
 
-/// Checks an order against what the engine reports at the number that the order will name.
+/// Checks an order against the engine's report at the order count that the order will carry.
+///
+/// # Errors
+///
+/// Returns why the order may not be given.
 pub fn check_order(
     operation: Operation,
     item: &ModelRef,
@@ -193,8 +200,8 @@
         None => model.weight_mb,
         Some(adapter) => {
             let resident = resident.ok_or(OrderError::NoModel)?;
-            let on_its_way = report.pending.contains(&(item.model.clone(), adapter.clone()));
-            if resident.adapters.contains(adapter) || on_its_way {
+            let is_pending = report.pending.contains(&(item.model.clone(), adapter.clone()));
+            if resident.adapters.contains(adapter) || is_pending {
                 return Err(OrderError::NoEffect);
             }
             if report.adapter_count() >= spec.adapter_slots as usize {
@@ -217,24 +224,24 @@
     }
 }
 
-/// Spreads loads from the weight store so that their rate stays under its ceiling.
+/// Paces loads from the weight store so that their rate stays below its ceiling.
 ///
-/// A new holder of the lease begins without any allowance, so the loads that the one before began
+/// A new lease holder starts without any allowance, so that the loads begun by the previous holder
 /// count in full.
 #[derive(Debug)]
 pub struct LoadPacer {
     terms: LoadRateTerms,
     allowance: f64,
-    at: Moment,
+    updated_at: Moment,
 }
 
-/// How many loads from the weight store may begin within any window: the rate times the window's
-/// length times the overage.
+/// The ceiling on loads from the weight store that begin within any window: the rate times the
+/// window's length times the overage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadRateTerms {
-    /// The length of a window.
+    /// The length of the window.
     pub window: Duration,
-    /// How many times the rate may be reached within a window, from 1.
+    /// The factor by which the rate may be exceeded within a window; at least 1.
     pub overage: f64,
 }
 
@@ -245,19 +252,19 @@
 }
 
 impl LoadPacer {
-    /// Makes a pacer without allowance.
+    /// Creates a pacer without any allowance.
     pub fn new(terms: LoadRateTerms, now: Moment) -> Self {
-        Self { terms, allowance: 0.0, at: now }
+        Self { terms, allowance: 0.0, updated_at: now }
     }
 
-    /// Returns how many loads may begin now.
+    /// Returns the number of loads that may begin now at a rate of `loads_per_s`.
     pub fn available(&mut self, loads_per_s: f64, now: Moment) -> usize {
-        let gained = now.since(self.at).as_secs_f64() * loads_per_s;
+        let gained = now.since(self.updated_at).as_secs_f64() * loads_per_s;
         let LoadRateTerms { window, overage } = self.terms;
         let over = (overage - 1.0).max(0.0) * loads_per_s * window.as_secs_f64();
-        let burst = PACER_BURST + over * OVERAGE_PART;
+        let burst = PACER_BURST_LOADS + over * USED_OVERAGE_FRACTION;
         self.allowance = (self.allowance + gained).min(burst);
-        self.at = now;
+        self.updated_at = now;
         self.allowance.max(0.0) as usize
     }
 
@@ -266,11 +273,11 @@
         self.available(loads_per_s, now) > 0
     }
 
-    /// Counts a load that may have begun.
+    /// Records a load that may have begun.
     pub fn record_load(&mut self) {
         self.allowance -= 1.0;
     }
 }
 
-/// How long an order may go without an answer until it is given up.
+/// The time to wait for an answer to an order.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(1_000);
