--- a/trackfront_core/src/serving/demand.rs
+++ b/trackfront_core/src/serving/demand.rs
@@ -1,8 +1,8 @@
-//! How much each model and adapter is asked for, at this node and at its peers.
+//! The demand for each model and adapter, at this box and its peers.
 //!
-//! A model's demand can move to another model within seconds, and a load takes seconds, so the
-//! figure of a model looks ahead: a quick mean, and what it has gained over a slower one. Adapters
-//! are asked for too seldom for that; theirs is a slow mean.
+//! Demand can shift between models within seconds, and a load takes seconds, so the rate of a model
+//! is extrapolated: a fast moving average plus its gain over a slower one. Requests for adapters
+//! are too infrequent for that, so the rate of an adapter is a slow average.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,30 +10,30 @@
 use crate::serving::request::ModelRef;
 use crate::units::Moment;
 
-/// The time after which a request counts half in the quick mean.
-const QUICK: Duration = Duration::from_millis(900);
+/// The half-life of a request in the fast average.
+const FAST_HALF_LIFE: Duration = Duration::from_millis(900);
 
-/// The time after which a request counts half in the slow mean.
-const SLOW: Duration = Duration::from_millis(2_500);
+/// The half-life of a request in the slow average.
+const SLOW_HALF_LIFE: Duration = Duration::from_millis(2_500);
 
-/// The time after which a request counts half in an adapter's mean.
-const ADAPTER: Duration = Duration::from_secs(8);
+/// The half-life of a request in an adapter's average.
+const ADAPTER_HALF_LIFE: Duration = Duration::from_secs(8);
 
-/// How far the gain of the quick mean over the slow one is carried on.
-const AHEAD: f64 = 0.8;
+/// The factor by which the gain of the fast average over the slow one is extrapolated.
+const EXTRAPOLATION: f64 = 0.8;
 
-/// How long what a peer told counts.
-const PEER_FIGURES_FOR: Duration = Duration::from_secs(2);
+/// How long a peer's report is valid.
+const PEER_REPORT_VALIDITY: Duration = Duration::from_secs(2);
 
-/// The least rate that is kept, in requests a second.
-const LEAST_RATE: f64 = 0.005;
+/// The rate below which an item is forgotten, in requests per second.
+const MIN_RATE_PER_S: f64 = 0.005;
 
-/// How much something is asked for.
+/// The demand for a model or an adapter.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rate {
-    /// Requests a second.
+    /// The requests per second.
     pub requests: f64,
-    /// The time that engines need for them, in milliseconds a second.
+    /// The engine time that they need, in milliseconds per second.
     pub work_ms: f64,
 }
 
@@ -51,17 +51,17 @@
     }
 }
 
-/// A mean that forgets.
+/// An exponentially decaying average.
 #[derive(Clone, Copy, Debug, Default)]
-struct Mean {
+struct DecayingAverage {
     rate: Rate,
     at: Moment,
 }
 
-impl Mean {
+impl DecayingAverage {
     fn at(&self, half_life: Duration, now: Moment) -> Rate {
-        let halves = now.since(self.at).as_secs_f64() / half_life.as_secs_f64();
-        self.rate.scaled(0.5f64.powf(halves))
+        let half_lives_passed = now.since(self.at).as_secs_f64() / half_life.as_secs_f64();
+        self.rate.scaled(0.5f64.powf(half_lives_passed))
     }
 
     fn count(&mut self, half_life: Duration, work_ms: f64, now: Moment) {
@@ -72,41 +72,41 @@
     }
 }
 
-/// The means of one item.
+/// The averages of one item.
 #[derive(Clone, Copy, Debug, Default)]
-struct Means {
-    quick: Mean,
-    slow: Mean,
+struct ItemAverages {
+    fast: DecayingAverage,
+    slow: DecayingAverage,
 }
 
-impl Means {
+impl ItemAverages {
     fn half_lives(item: &ModelRef) -> (Duration, Duration) {
         match item.adapter {
-            None => (QUICK, SLOW),
-            Some(_) => (ADAPTER, ADAPTER),
+            None => (FAST_HALF_LIFE, SLOW_HALF_LIFE),
+            Some(_) => (ADAPTER_HALF_LIFE, ADAPTER_HALF_LIFE),
         }
     }
 
     fn count(&mut self, item: &ModelRef, work_ms: f64, now: Moment) {
-        let (quick, slow) = Self::half_lives(item);
-        self.quick.count(quick, work_ms, now);
+        let (fast, slow) = Self::half_lives(item);
+        self.fast.count(fast, work_ms, now);
         self.slow.count(slow, work_ms, now);
     }
 
-    fn ahead(&self, item: &ModelRef, now: Moment) -> Rate {
-        let (quick, slow) = Self::half_lives(item);
-        let (quick, slow) = (self.quick.at(quick, now), self.slow.at(slow, now));
-        quick.scaled(1.0 + AHEAD).plus(slow.scaled(-AHEAD)).at_least_zero()
+    fn extrapolated(&self, item: &ModelRef, now: Moment) -> Rate {
+        let (fast, slow) = Self::half_lives(item);
+        let (fast, slow) = (self.fast.at(fast, now), self.slow.at(slow, now));
+        fast.scaled(1.0 + EXTRAPOLATION).plus(slow.scaled(-EXTRAPOLATION)).at_least_zero()
     }
 }
 
-/// What peers told: their rates and when.
+/// The rates that each peer reported, and when.
 type PeerRates = HashMap<u32, (Vec<(ModelRef, Rate)>, Moment)>;
 
-/// Measures demand.
+/// Measures the demand at this box and collects that of its peers.
 #[derive(Debug, Default)]
 pub struct DemandMeter {
-    own: HashMap<ModelRef, Means>,
+    own: HashMap<ModelRef, ItemAverages>,
     peers: PeerRates,
 }
 
@@ -117,23 +117,26 @@
         self.own.entry(item.clone()).or_default().count(item, work_ms, now);
     }
 
-    /// Returns this node's own demand, to be told to peers.
+    /// Returns the demand at this box, to be reported to peers.
     pub fn own(&mut self, now: Moment) -> Vec<(ModelRef, Rate)> {
-        self.own.retain(|item, means| {
-            means.slow.at(Means::half_lives(item).1, now).requests >= LEAST_RATE
+        self.own.retain(|item, averages| {
+            averages.slow.at(ItemAverages::half_lives(item).1, now).requests >= MIN_RATE_PER_S
         });
-        self.own.iter().map(|(item, means)| (item.clone(), means.ahead(item, now))).collect()
+        self.own
+            .iter()
+            .map(|(item, averages)| (item.clone(), averages.extrapolated(item, now)))
+            .collect()
     }
 
-    /// Notes what a peer told.
+    /// Applies a peer's report, which replaces its previous one.
     pub fn apply_report(&mut self, peer: u32, rates: Vec<(ModelRef, Rate)>, now: Moment) {
         self.peers.insert(peer, (rates, now));
     }
 
-    /// Returns the demand at all nodes.
+    /// Returns the demand at all boxes.
     pub fn total(&mut self, now: Moment) -> HashMap<ModelRef, Rate> {
         let mut total: HashMap<ModelRef, Rate> = self.own(now).into_iter().collect();
-        self.peers.retain(|_, (_, at)| now.since(*at) < PEER_FIGURES_FOR);
+        self.peers.retain(|_, (_, at)| now.since(*at) < PEER_REPORT_VALIDITY);
         for (item, rate) in self.peers.values().flat_map(|(rates, _)| rates) {
             let sum = total.entry(item.clone()).or_default();
             *sum = sum.plus(*rate);
