--- a/trackfront_core/src/serving/mod.rs
+++ b/trackfront_core/src/serving/mod.rs
@@ -1,8 +1,8 @@
-//! The decisions behind the request pipeline: routes, servers, load, choice, retries, placement.
+//! The decisions behind the request pipeline: routing, server selection, retries and placement.
 //!
-//! Every module is free of I/O and of clocks; moments come in as arguments. The runtime around
-//! them stands in `trackfrontd::serving`. This folder depends on [`crate::accounts`], [`crate::ids`],
-//! [`crate::units`], [`crate::lease`] and, for the order of keepers, [`crate::quota`] only.
+//! The modules do no I/O and read no clock; moments are passed as arguments. The runtime around them
+//! is `trackfrontd::serving`. They depend only on [`crate::accounts`], [`crate::ids`],
+//! [`crate::units`], [`crate::lease`] and, for the order of coordinators, [`crate::quota`].
 
 pub mod adapter_use;
 pub mod affinity;
--- a/trackfront_core/tests/serving.rs
+++ b/trackfront_core/tests/serving.rs
@@ -1,4 +1,4 @@
-//! The decisions behind the request pipeline.
+//! Tests of the decisions behind the request pipeline.
 
 mod serving {
     mod support;
--- a/trackfront_core/tests/serving/accounts.rs
+++ b/trackfront_core/tests/serving/accounts.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_key_belongs_to_one_account() {
+fn key_belongs_to_one_account() {
     let accounts = Accounts::new(vec![account("a", &["k1", "k2"]), account("b", &["k3"])]);
     let accounts = accounts.expect("valid");
     let holder = |key: &str| accounts.by_key(&KeyHash::of(key.as_bytes())).map(|a| a.name.clone());
@@ -30,11 +30,11 @@
     let shared = Accounts::new(vec![account("a", &["k1"]), account("b", &["k1"])]);
     assert!(matches!(shared, Err(AccountError::SharedKey { .. })));
     let again = Accounts::new(vec![account("a", &["k1", "k1"])]);
-    assert!(again.is_ok(), "a key that one account lists twice is no fault");
+    assert!(again.is_ok(), "one account may list a key twice");
 }
 
 #[test]
-fn limits_that_are_no_amounts_are_refused() {
+fn invalid_limits_are_rejected() {
     for (per_s, burst) in [(-1.0, 0.0), (f64::INFINITY, 0.0), (f64::NAN, 1.0), (1.0, -1.0)] {
         let bad = ClientAccount { limit: limit(per_s, burst), ..account("a", &[]) };
         assert!(matches!(Accounts::new(vec![bad]), Err(AccountError::BadLimit { .. })));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_request_takes_its_tokens_or_what_a_plain_one_takes() {
+fn request_costs_its_tokens_or_the_plain_amount() {
     let tokens = limit(1.0, 1.0).expect("there");
     assert_eq!(tokens.units(Some(2_400)), 2_400.0);
     assert_eq!(tokens.units(None), 200.0);
@@ -51,33 +51,36 @@
 }
 
 #[test]
-fn only_a_public_route_needs_no_key() {
+fn only_public_routes_need_no_key() {
     let mut open = route("open", "/open/", "s");
     open.public = true;
     let routes = vec![route("closed", "/closed/", "s"), open];
     let config = ServingConfig::new(1, routes, services(&["s"]), limits()).expect("valid");
     let key = KeyHash::of(b"k1");
-    let holder = |config: &ServingConfig, path: &str, key: Option<&KeyHash>| {
+    let authenticate = |config: &ServingConfig, path: &str, key: Option<&KeyHash>| {
         config.authenticate(config.route("h", path).expect("a route"), key)
     };
     assert_eq!(
-        holder(&config, "/closed/x", None),
+        authenticate(&config, "/closed/x", None),
         Authentication::Anonymous,
         "there are no accounts"
     );
     let accounts = Accounts::new(vec![account("a", &["k1"])]).expect("valid");
     let config = config.with_accounts(Some(accounts));
-    assert_eq!(holder(&config, "/closed/x", None), Authentication::UnknownKey);
-    assert_eq!(holder(&config, "/closed/x", Some(&KeyHash::of(b"k2"))), Authentication::UnknownKey);
-    assert!(matches!(holder(&config, "/closed/x", Some(&key)), Authentication::Account(_)));
-    assert_eq!(holder(&config, "/open/x", None), Authentication::Anonymous);
-    assert!(matches!(holder(&config, "/open/x", Some(&key)), Authentication::Account(_)));
-    let nobody = config.with_accounts(Some(Accounts::default()));
-    assert_eq!(holder(&nobody, "/closed/x", Some(&key)), Authentication::UnknownKey);
+    assert_eq!(authenticate(&config, "/closed/x", None), Authentication::UnknownKey);
+    assert_eq!(
+        authenticate(&config, "/closed/x", Some(&KeyHash::of(b"k2"))),
+        Authentication::UnknownKey
+    );
+    assert!(matches!(authenticate(&config, "/closed/x", Some(&key)), Authentication::Account(_)));
+    assert_eq!(authenticate(&config, "/open/x", None), Authentication::Anonymous);
+    assert!(matches!(authenticate(&config, "/open/x", Some(&key)), Authentication::Account(_)));
+    let without_keys = config.with_accounts(Some(Accounts::default()));
+    assert_eq!(authenticate(&without_keys, "/closed/x", Some(&key)), Authentication::UnknownKey);
 }
 
 #[test]
-fn no_key_and_no_hash_is_shown() {
+fn debug_output_hides_keys_and_hashes() {
     let shown = format!("{:?}", account("a", &["k1"]));
     assert!(!shown.contains("k1") && !shown.contains(&KeyHash::of(b"k1").to_hex()), "{shown}");
 }
--- a/trackfront_core/tests/serving/config.rs
+++ b/trackfront_core/tests/serving/config.rs
@@ -3,33 +3,33 @@
 use super::support::{limits, route, services};
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn longest_matching_prefix_wins() {
     let routes = vec![route("short", "/a/", "s"), route("long", "/a/b/", "s")];
     let config = ServingConfig::new(1, routes, services(&["s"]), limits()).expect("valid");
     let name = |host: &str, path: &str| config.route(host, path).map(|route| route.name.clone());
     assert_eq!(name("h", "/a/b/c").as_deref(), Some("long"));
     assert_eq!(name("h", "/a/bc").as_deref(), Some("short"));
-    assert_eq!(name("h", "/a").as_deref(), None, "a prefix ends with its slash");
+    assert_eq!(name("h", "/a").as_deref(), None, "a prefix includes its trailing slash");
     assert_eq!(name("other", "/a/b/c"), None);
 }
 
 #[test]
-fn what_cannot_work_is_refused_with_its_name() {
-    let refuse = |routes| ServingConfig::new(1, routes, services(&["s"]), limits()).unwrap_err();
-    let unknown = refuse(vec![route("r", "/a/", "missing")]);
+fn invalid_routes_are_rejected_by_cause() {
+    let reject = |routes| ServingConfig::new(1, routes, services(&["s"]), limits()).unwrap_err();
+    let unknown = reject(vec![route("r", "/a/", "missing")]);
     assert!(matches!(unknown, ConfigError::UnknownService { .. }), "{unknown}");
     assert!(unknown.to_string().contains("missing"));
-    let prefix = refuse(vec![route("r", "/a", "s")]);
+    let prefix = reject(vec![route("r", "/a", "s")]);
     assert!(matches!(prefix, ConfigError::BadPrefix { .. }), "{prefix}");
-    let same = refuse(vec![route("r", "/a/", "s"), route("q", "/a/", "s")]);
+    let same = reject(vec![route("r", "/a/", "s"), route("q", "/a/", "s")]);
     assert!(matches!(same, ConfigError::SameRoute { .. }), "{same}");
     let mut nowhere = route("r", "/a/", "s");
     nowhere.targets.clear();
-    assert!(matches!(refuse(vec![nowhere]), ConfigError::NoTarget { .. }));
+    assert!(matches!(reject(vec![nowhere]), ConfigError::NoTarget { .. }));
 }
 
 #[test]
-fn a_split_follows_its_weights() {
+fn requests_are_split_by_weight() {
     let mut split = route("r", "/a/", "s");
     split.targets = vec![
         RouteTarget { service: "s".into(), weight: 90 },
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn only_what_may_run_again_is_idempotent() {
+fn idempotence_follows_route_kind() {
     let mut one = route("r", "/a/", "s");
     assert!(one.is_idempotent());
     one.kind = RouteKind::Once;
--- a/trackfront_core/tests/serving/demand.rs
+++ b/trackfront_core/tests/serving/demand.rs
@@ -7,18 +7,18 @@
 }
 
 #[test]
-fn a_steady_rate_is_measured_and_a_fall_is_followed_within_seconds() {
+fn rate_follows_steady_and_falling_demand() {
     let mut meter = DemandMeter::default();
     for ms in (0..10_000).step_by(50) {
         meter.count(&item("m", None), 100.0, at(ms));
     }
     let steady = rate_after(&mut meter, 10_000);
     assert!((16.0..24.0).contains(&steady), "{steady}");
-    assert!(rate_after(&mut meter, 12_000) < 3.0, "demand that is gone counts little after 2 s");
+    assert!(rate_after(&mut meter, 12_000) < 3.0, "past demand counts little after 2 s");
 }
 
 #[test]
-fn a_rise_is_carried_on() {
+fn rising_rate_is_extrapolated() {
     let mut meter = DemandMeter::default();
     let (mut now, mut real) = (0u64, 0.0);
     while now < 3_000 {
@@ -26,24 +26,24 @@
         now += (1_000.0 / real) as u64;
         meter.count(&item("m", None), 1.0, at(now));
     }
-    let seen = rate_after(&mut meter, now);
-    assert!(seen > real * 0.85, "{seen} of {real}");
+    let measured = rate_after(&mut meter, now);
+    assert!(measured > real * 0.85, "{measured} of {real}");
 }
 
 #[test]
-fn peers_add_up_until_they_fall_silent() {
+fn peer_reports_add_up_until_they_expire() {
     let mut meter = DemandMeter::default();
-    let told = |requests| vec![(item("m", None), Rate { requests, work_ms: 0.0 })];
-    meter.apply_report(1, told(5.0), at(0));
-    meter.apply_report(2, told(7.0), at(1_000));
+    let report = |requests| vec![(item("m", None), Rate { requests, work_ms: 0.0 })];
+    meter.apply_report(1, report(5.0), at(0));
+    meter.apply_report(2, report(7.0), at(1_000));
     assert_eq!(rate_after(&mut meter, 1_000), 12.0);
-    meter.apply_report(2, told(1.0), at(1_500));
+    meter.apply_report(2, report(1.0), at(1_500));
     assert_eq!(rate_after(&mut meter, 1_500), 6.0);
-    assert_eq!(rate_after(&mut meter, 2_500), 1.0, "the first peer was not heard for 2 s");
+    assert_eq!(rate_after(&mut meter, 2_500), 1.0, "the first peer has not reported for 2 s");
 }
 
 #[test]
-fn an_adapter_is_remembered_longer_than_a_model() {
+fn adapter_demand_decays_slower_than_model_demand() {
     let mut meter = DemandMeter::default();
     meter.count(&item("m", None), 1.0, at(0));
     meter.count(&item("m", Some("a1")), 1.0, at(0));
--- a/trackfront_core/tests/serving/directory_listed.rs
+++ b/trackfront_core/tests/serving/directory_listed.rs
@@ -1,5 +1,6 @@
-//! Random changes of servers of some services at few addresses: those listed for a service are at each step the ones
-//! that a listing from nothing would name. Of several at one address that is the one that was learned of last.
+//! Compares the directory's incremental index with one rebuilt from nothing after each of many
+//! random changes. Few addresses are used, so that servers share them; then only the server that
+//! was discovered last may be listed.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -21,10 +22,10 @@
 const SERVICES: [&str; 2] = ["text", "plain"];
 const MODELS: [&str; 3] = ["m", "n", "o"];
 
-/// How many changes one answer brings at most.
-const CHANGES_AT_ONCE: usize = 4;
+/// The maximum number of changes in one answer.
+const MAX_CHANGES: usize = 4;
 
-fn listed_from_nothing(directory: &Directory, service: &ServiceName) -> Vec<Arc<KnownServer>> {
+fn rebuilt_listing(directory: &Directory, service: &ServiceName) -> Vec<Arc<KnownServer>> {
     let mut learned: HashMap<&str, Moment> = HashMap::new();
     for known in directory.all() {
         let last = learned.entry(&known.entry.address).or_default();
@@ -44,7 +45,7 @@
         return ServerChange::Removed { version, key: key.as_str().into() };
     }
     let known = directory.all().find(|known| known.entry.key == key.as_str().into());
-    // Most rows say the same of where a server is.
+    // Most rows don't change the server's address.
     let same = known.filter(|_| rng.random_bool(0.8)).map(|known| known.entry.clone());
     let new = || ServerEntry {
         address: format!("10.0.0.{}:80", rng.random_range(0..ADDRESSES)),
@@ -67,13 +68,13 @@
 }
 
 #[test]
-fn servers_are_listed_as_if_from_nothing_after_each_change() {
+fn index_equals_rebuilt_one_after_each_change() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut directory = Directory::new(HEARTBEAT);
     let (mut version, mut shared) = (0, 0);
     for step in 0..STEPS {
         let now = at(1_000 + step * 20);
-        let count = rng.random_range(1..=CHANGES_AT_ONCE);
+        let count = rng.random_range(1..=MAX_CHANGES);
         let mut changes = Vec::new();
         for _ in 0..count {
             version += 1;
@@ -85,7 +86,7 @@
         directory.apply(changes, version, now);
         directory.drop_expired_rows(now);
         for service in SERVICES.map(ServiceName::from) {
-            let expected = listed_from_nothing(&directory, &service);
+            let expected = rebuilt_listing(&directory, &service);
             let listed = directory.of_service(&service);
             let same = listed.iter().zip(&expected).all(|(a, b)| Arc::ptr_eq(a, b));
             assert!(
@@ -95,7 +96,7 @@
         }
         for model in MODELS.map(ModelName::from) {
             let services = SERVICES.map(ServiceName::from);
-            let all = services.iter().flat_map(|service| listed_from_nothing(&directory, service));
+            let all = services.iter().flat_map(|service| rebuilt_listing(&directory, service));
             let mut expected: Vec<_> =
                 all.filter(|known| known.entry.models.contains_key(&model)).collect();
             expected.sort_by(|a, b| a.entry.id.cmp(&b.entry.id));
--- a/trackfront_core/tests/serving/directory_random.rs
+++ b/trackfront_core/tests/serving/directory_random.rs
@@ -1,7 +1,7 @@
-//! Random runs of boxes that learn of servers from the platform and from each other: messages are lost, late and
-//! out of order, boxes start again, copies come from whoever is asked. A box that says that it knows a version has
-//! the servers of that version; one that had more sent requests to servers that were gone. Servers start again under
-//! their keys, and words of earlier runs come late.
+//! Simulates boxes that learn of servers from the platform and from each other. Messages are lost,
+//! late and out of order, boxes restart, and any box may send an update; servers restart under
+//! their keys, and rows of earlier incarnations arrive late. A box at a version must have exactly
+//! the servers of that version: one with more would send requests to removed servers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,13 +19,13 @@
 const BOXES: usize = 5;
 const SERVERS: usize = 8;
 
-/// Few, so that most listings need several messages.
-const CHANGES_AT_ONCE: usize = 3;
+/// The number of changes per message, small so that most listings need several messages.
+const MAX_CHANGES: usize = 3;
 
-/// How many messages are on their way at most; the oldest are lost beyond.
-const MOST_ON_THEIR_WAY: usize = 60;
+/// The maximum number of messages in transit; beyond it, the oldest are lost.
+const MAX_IN_TRANSIT: usize = 60;
 
-/// The time of a step; some are long, so that what left long ago is forgotten.
+/// The duration of a step. Some steps are long, so that old removals are forgotten.
 const STEP_MS: u64 = 50;
 const LONG_STEP_MS: u64 = 70_000;
 
@@ -34,7 +34,7 @@
     at_version: Vec<BTreeMap<ServerKey, (u64, ServerEntry)>>,
     changes: Vec<ServerChange>,
     incarnation: u64,
-    /// The keys under which an earlier run's word came after a later one's.
+    /// The keys under which a row of an earlier incarnation was written after that of a later one.
     mixed: BTreeSet<ServerKey>,
 }
 
@@ -56,7 +56,7 @@
         self.changes.push(change);
     }
 
-    /// A server joins, changes or goes.
+    /// Adds, updates or removes a server.
     fn change(&mut self, rng: &mut ChaCha8Rng) {
         let version = self.version() + 1;
         let mut rows = self.newest().clone();
@@ -69,13 +69,14 @@
                 self.write(ServerChange::Removed { version, key: id }, rows);
             }
             Some(id) if !joins && rng.random_bool(0.4) => {
-                // It starts again under its key, or what its first run wrote comes late.
+                // The server restarts under its key, or a row of its first incarnation arrives
+                // late.
                 let was_first = rows[&id].1.started == Some(0);
-                let comes_late = !was_first && rng.random_bool(0.3);
-                if comes_late {
+                let is_late = !was_first && rng.random_bool(0.3);
+                if is_late {
                     self.mixed.insert(id.clone());
                 }
-                let started = if comes_late { 0 } else { version };
+                let started = if is_late { 0 } else { version };
                 let entry = ServerEntry {
                     id: format!("{id}@{started}").into(),
                     started: Some(started),
@@ -99,7 +100,7 @@
         }
     }
 
-    /// The last change of each row after a version, in order.
+    /// Returns the last change of each row after a version, in order.
     fn feed(&self, after: u64) -> Vec<ServerChange> {
         let mut seen = BTreeSet::new();
         let newer = self.changes.iter().rev().take_while(|change| change.version() > after);
@@ -113,31 +114,31 @@
 struct World {
     table: Table,
     boxes: Vec<Directory>,
-    on_their_way: Vec<(usize, ReceivedChanges)>,
-    /// Answers of the platform that have not come yet.
+    in_transit: Vec<(usize, ReceivedChanges)>,
+    /// Answers of the platform that have not arrived yet.
     answers: Vec<(usize, ReceivedChanges)>,
-    /// The latest start under each key that each box heard of.
-    heard: Vec<BTreeMap<ServerKey, u64>>,
+    /// The latest incarnation of each key that each box learned of, by start time.
+    latest_starts: Vec<BTreeMap<ServerKey, u64>>,
     now: u64,
 }
 
 impl World {
-    /// Tells the others; some messages are lost.
-    fn tell(&mut self, from_box: usize, told: ReceivedChanges, rng: &mut ChaCha8Rng) {
-        for message in told.into_messages(CHANGES_AT_ONCE) {
+    /// Sends changes to the other boxes; some messages are lost.
+    fn broadcast(&mut self, from_box: usize, received: ReceivedChanges, rng: &mut ChaCha8Rng) {
+        for message in received.into_messages(MAX_CHANGES) {
             for other in (0..BOXES).filter(|other| *other != from_box) {
                 if rng.random_bool(0.8) {
-                    self.on_their_way.push((other, message.clone()));
+                    self.in_transit.push((other, message.clone()));
                 }
-                if self.on_their_way.len() > MOST_ON_THEIR_WAY {
-                    self.on_their_way.remove(0);
+                if self.in_transit.len() > MAX_IN_TRANSIT {
+                    self.in_transit.remove(0);
                 }
             }
         }
     }
 
     fn list(&mut self, index: usize, rng: &mut ChaCha8Rng) {
-        // What is read from one of the platform's machines may be a little old.
+        // The platform's replicas may lag behind.
         let version = self.table.version() - rng.random_range(0..=2.min(self.table.version() - 1));
         let rows: Vec<_> = self.table.rows(version).values().cloned().collect();
         let from = self.boxes[index].newest_version();
@@ -145,11 +146,11 @@
             return;
         };
         let changes = self.boxes[index].changes_for(&events, version);
-        let told = ReceivedChanges::from_listing(from, version, changes, CHANGES_AT_ONCE);
-        self.tell(index, told, rng);
+        let received = ReceivedChanges::from_listing(from, version, changes, MAX_CHANGES);
+        self.broadcast(index, received, rng);
     }
 
-    /// Asks for what has changed; the answer comes later.
+    /// Requests the changes from the feed; the answer arrives later.
     fn follow(&mut self, index: usize, rng: &mut ChaCha8Rng) {
         let (from, to) = (self.boxes[index].newest_version(), self.table.version());
         if from == 0 {
@@ -160,23 +161,23 @@
             .push((index, ReceivedChanges { origin: ChangeOrigin::Feed, from, to, changes }));
     }
 
-    fn take_answer(&mut self, rng: &mut ChaCha8Rng) {
+    fn deliver_answer(&mut self, rng: &mut ChaCha8Rng) {
         if self.answers.is_empty() {
             return;
         }
         let answer = rng.random_range(0..self.answers.len());
-        let (index, told) = self.answers.swap_remove(answer);
-        self.boxes[index].apply(told.changes.clone(), told.to, at(self.now));
-        self.tell(index, told, rng);
+        let (index, received) = self.answers.swap_remove(answer);
+        self.boxes[index].apply(received.changes.clone(), received.to, at(self.now));
+        self.broadcast(index, received, rng);
     }
 
     fn restart(&mut self, index: usize) {
         self.boxes[index] = Directory::new(HEARTBEAT);
-        self.heard[index].clear();
+        self.latest_starts[index].clear();
         self.answers.retain(|(asker, _)| *asker != index);
     }
 
-    fn copy(&mut self, index: usize, rng: &mut ChaCha8Rng) {
+    fn fetch_update(&mut self, index: usize, rng: &mut ChaCha8Rng) {
         let other = rng.random_range(0..BOXES);
         let (known, version) =
             (self.boxes[index].newest_version(), self.boxes[other].newest_version());
@@ -192,17 +193,17 @@
         match rng.random_range(0..100) {
             0..40 => self.table.change(rng),
             40..48 => self.follow(index, rng),
-            48..56 => self.take_answer(rng),
+            48..56 => self.deliver_answer(rng),
             56..58 => self.list(index, rng),
-            58..64 => self.copy(index, rng),
+            58..64 => self.fetch_update(index, rng),
             64..66 => self.restart(index),
-            _ if self.on_their_way.is_empty() => {}
+            _ if self.in_transit.is_empty() => {}
             _ => {
-                let message = rng.random_range(0..self.on_their_way.len());
-                let (to, told) = self.on_their_way.swap_remove(message);
-                // A box that has not listed the servers takes in nothing.
+                let message = rng.random_range(0..self.in_transit.len());
+                let (to, received) = self.in_transit.swap_remove(message);
+                // A box that has not listed the servers yet applies no messages.
                 if self.boxes[to].newest_version() > 0 {
-                    self.boxes[to].apply_received(told, at(self.now));
+                    self.boxes[to].apply_received(received, at(self.now));
                 }
             }
         }
@@ -210,18 +211,18 @@
 
     fn check(&mut self) {
         for index in 0..BOXES {
-            self.check_runs(index);
+            self.check_incarnations(index);
             self.check_servers(index);
         }
     }
 
-    /// No box acts on an earlier run after it heard of a later one.
-    fn check_runs(&mut self, index: usize) {
-        let heard = &mut self.heard[index];
+    /// Checks that no box uses an earlier incarnation after it learned of a later one.
+    fn check_incarnations(&mut self, index: usize) {
+        let latest_starts = &mut self.latest_starts[index];
         for server in self.boxes[index].all() {
-            let started = server.entry.started.expect("every server says it here");
-            let latest = heard.entry(server.entry.key.clone()).or_default();
-            assert!(started >= *latest, "box {index}: {server:?} after a run of {latest}");
+            let started = server.entry.started.expect("every server reports its start here");
+            let latest = latest_starts.entry(server.entry.key.clone()).or_default();
+            assert!(started >= *latest, "box {index}: {server:?} after an incarnation of {latest}");
             *latest = started;
         }
     }
@@ -233,24 +234,26 @@
             assert_eq!(known.all().count(), 0, "box {index} has listed nothing");
             return;
         }
-        // The feed tells the last change of a row only, so what changes again later may be as it was before.
+        // The feed has only the last change of each row, so a row that changes again later may be
+        // outdated.
         let later = self.table.feed(version);
         let later: BTreeSet<&ServerKey> = later.iter().map(ServerChange::key).collect();
         let rows = self.table.rows(version);
-        let has = known.all().map(|server| (server.entry.key.clone(), server.version));
-        let has: BTreeMap<_, _> = has.filter(|(key, _)| !later.contains(key)).collect();
-        let is_there = has.keys().all(|key| rows.contains_key(key));
-        assert!(is_there, "box {index} at version {version} has more than {rows:?}: {has:?}");
+        let actual = known.all().map(|server| (server.entry.key.clone(), server.version));
+        let actual: BTreeMap<_, _> = actual.filter(|(key, _)| !later.contains(key)).collect();
+        let is_there = actual.keys().all(|key| rows.contains_key(key));
+        assert!(is_there, "box {index} at version {version} has more than {rows:?}: {actual:?}");
         let is_compared = |key: &ServerKey| !later.contains(key) && !self.table.mixed.contains(key);
-        let has: BTreeMap<_, _> = has.into_iter().filter(|(key, _)| is_compared(key)).collect();
-        let right = rows.iter().map(|(key, row)| (key.clone(), row.0));
-        let right: BTreeMap<_, _> = right.filter(|(key, _)| is_compared(key)).collect();
-        assert_eq!(has, right, "box {index} at version {version}");
+        let actual: BTreeMap<_, _> =
+            actual.into_iter().filter(|(key, _)| is_compared(key)).collect();
+        let expected = rows.iter().map(|(key, row)| (key.clone(), row.0));
+        let expected: BTreeMap<_, _> = expected.filter(|(key, _)| is_compared(key)).collect();
+        assert_eq!(actual, expected, "box {index} at version {version}");
     }
 }
 
 #[test]
-fn a_box_that_knows_a_version_has_the_servers_of_that_version() {
+fn box_at_a_version_has_exactly_its_servers() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let table = Table {
         at_version: vec![BTreeMap::new()],
@@ -262,9 +265,9 @@
     let mut world = World {
         table,
         boxes,
-        on_their_way: Vec::new(),
+        in_transit: Vec::new(),
         answers: Vec::new(),
-        heard: vec![BTreeMap::new(); BOXES],
+        latest_starts: vec![BTreeMap::new(); BOXES],
         now: 1_000,
     };
     world.table.change(&mut rng);
--- a/trackfront_core/tests/serving/halls.rs
+++ b/trackfront_core/tests/serving/halls.rs
@@ -2,30 +2,30 @@
 
 use super::support::at;
 
-fn word(hall: &str, version: u64, is_evacuated: bool) -> HallStatus {
+fn status(hall: &str, version: u64, is_evacuated: bool) -> HallStatus {
     HallStatus { hall: hall.into(), version, is_evacuated }
 }
 
-/// Words of three halls in any order, twice, leave every box with the same.
+/// Applies the statuses of three halls twice and in different orders: the result must be the same.
 #[test]
-fn boxes_that_hear_the_same_words_in_any_order_agree() {
-    let words = [
-        word("a", 3, true),
-        word("b", 4, true),
-        word("a", 6, false),
-        word("c", 8, true),
-        word("b", 9, false),
-        word("a", 11, true),
+fn statuses_converge_in_any_order() {
+    let statuses = [
+        status("a", 3, true),
+        status("b", 4, true),
+        status("a", 6, false),
+        status("c", 8, true),
+        status("b", 9, false),
+        status("a", 11, true),
     ];
     let mut expected = Evacuations::default();
-    words.iter().for_each(|word| {
-        expected.apply(word, at(0));
+    statuses.iter().for_each(|status| {
+        expected.apply(status, at(0));
     });
-    for rotation in 0..words.len() {
+    for rotation in 0..statuses.len() {
         for step in [1, 5] {
             let mut box_ = Evacuations::default();
-            for place in 0..2 * words.len() {
-                box_.apply(&words[(rotation + place * step) % words.len()], at(0));
+            for index in 0..2 * statuses.len() {
+                box_.apply(&statuses[(rotation + index * step) % statuses.len()], at(0));
             }
             assert_eq!(box_.statuses(), expected.statuses(), "from {rotation} by {step}");
         }
@@ -35,13 +35,13 @@
 }
 
 #[test]
-fn a_listing_ends_what_it_lacks_unless_that_is_newer() {
+fn listing_reopens_missing_halls_unless_their_rows_are_newer() {
     let mut evacuations = Evacuations::default();
-    evacuations.apply(&word("a", 3, true), at(0));
-    evacuations.apply(&word("b", 9, true), at(0));
-    let words = evacuations.statuses_from_listing(vec![word("c", 5, true)], 7);
-    let changes = words.iter().filter(|word| evacuations.apply(word, at(50))).count();
-    assert_eq!(changes, 2, "a is used again, c is emptied");
+    evacuations.apply(&status("a", 3, true), at(0));
+    evacuations.apply(&status("b", 9, true), at(0));
+    let statuses = evacuations.statuses_from_listing(vec![status("c", 5, true)], 7);
+    let changes = statuses.iter().filter(|status| evacuations.apply(status, at(50))).count();
+    assert_eq!(changes, 2, "a is reopened, c is evacuated");
     assert!(!evacuations.is_evacuated(&"a".into()));
     assert!(evacuations.is_evacuated(&"b".into()), "its row was written after the listing");
     assert!(evacuations.is_evacuated(&"c".into()));
--- a/trackfront_core/tests/serving/key_freshness.rs
+++ b/trackfront_core/tests/serving/key_freshness.rs
@@ -7,7 +7,7 @@
 const TERMS: RevocationTerms = RevocationTerms { bound: Duration::from_millis(5_000) };
 
 #[test]
-fn nothing_is_usable_before_anything_showed_it() {
+fn keys_are_unusable_before_first_confirmation() {
     let mut freshness = KeyFreshness::default();
     assert!(!freshness.is_usable(TERMS, at(0)));
     freshness.set_in_force(7);
@@ -15,20 +15,20 @@
 }
 
 #[test]
-fn an_answer_counts_from_the_moment_of_its_question() {
+fn answer_counts_from_time_of_query() {
     let mut freshness = KeyFreshness::default();
     freshness.set_in_force(7);
     freshness.confirm_newest(7, at(1_000));
     assert_eq!(freshness.age(at(1_500)), Some(Duration::from_millis(500)));
     assert!(freshness.is_usable(TERMS, at(5_500)));
-    assert!(!freshness.is_usable(TERMS, at(5_600)), "a margin is kept back");
-    // An older answer that comes later takes nothing back.
+    assert!(!freshness.is_usable(TERMS, at(5_600)), "a margin is reserved");
+    // An older answer that arrives later has no effect.
     freshness.confirm_newest(7, at(500));
     assert_eq!(freshness.age(at(1_500)), Some(Duration::from_millis(500)));
 }
 
 #[test]
-fn word_of_a_newer_row_counts_once_that_is_in_force() {
+fn newer_row_counts_once_in_force() {
     let mut freshness = KeyFreshness::default();
     freshness.set_in_force(7);
     freshness.confirm_newest(7, at(1_000));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn word_of_an_older_row_confirms_what_was_written_after_it() {
+fn older_row_confirms_newer_one_in_force() {
     let mut freshness = KeyFreshness::default();
     freshness.set_in_force(9);
     freshness.confirm_newest(7, at(2_000));
@@ -49,40 +49,41 @@
 }
 
 #[test]
-fn two_removals_in_a_row_leave_no_gap() {
+fn consecutive_revocations_leave_no_gap() {
     let mut freshness = KeyFreshness::default();
     freshness.set_in_force(1);
     freshness.confirm_newest(1, at(0));
     freshness.confirm_newest(2, at(3_000));
     freshness.confirm_newest(3, at(3_500));
     freshness.set_in_force(2);
-    // What was told of row 3 says nothing of row 2: it may have been replaced since.
+    // An answer about row 3 says nothing about row 2, which may have been replaced since.
     assert!(!freshness.is_usable(TERMS, at(4_700)));
     freshness.set_in_force(3);
     assert!(freshness.is_usable(TERMS, at(4_700)));
 }
 
 #[test]
-fn word_of_another_box_counts_from_the_question_and_grows_by_what_that_box_tells() {
+fn peer_answer_counts_from_query_minus_reported_age() {
     let mut freshness = KeyFreshness::default();
     freshness.set_in_force(7);
-    // Asked at 6 s, and the other box was 1.5 s old: whenever the answer is read, it is of 4.5 s.
+    // Queried at 6 s, with a reported age of 1.5 s: the answer refers to 4.5 s, whenever it is
+    // read.
     freshness.apply_peer_answer(7, Duration::from_millis(1_500), at(6_000));
     assert_eq!(freshness.age(at(6_100)), Some(Duration::from_millis(1_600)));
-    assert!(!freshness.is_usable(TERMS, at(9_200)), "the process stood still meanwhile");
+    assert!(!freshness.is_usable(TERMS, at(9_200)), "the process was paused in between");
     freshness.apply_peer_answer(7, Duration::from_millis(8_000), at(6_000));
     assert_eq!(freshness.age(at(6_100)), Some(Duration::from_millis(1_600)));
 }
 
 #[test]
-fn a_box_that_has_just_started_takes_word_of_before_its_start() {
+fn new_box_accepts_answers_from_before_its_start() {
     let mut freshness = KeyFreshness::default();
     freshness.set_in_force(7);
     freshness.apply_peer_answer(7, Duration::from_millis(900), at(20));
     assert_eq!(freshness.age(at(30)), Some(Duration::from_millis(910)));
     assert!(freshness.is_usable(TERMS, at(30)));
     freshness.apply_peer_answer(7, Duration::from_millis(400), at(40));
-    assert_eq!(freshness.age(at(40)), Some(Duration::from_millis(400)), "the younger word counts");
+    assert_eq!(freshness.age(at(40)), Some(Duration::from_millis(400)), "the newer answer counts");
     freshness.apply_peer_answer(7, Duration::from_secs(4_000_000), at(50));
     assert_eq!(freshness.age(at(50)), Some(Duration::from_millis(410)));
 }
--- a/trackfront_core/tests/serving/limited.rs
+++ b/trackfront_core/tests/serving/limited.rs
@@ -1,4 +1,4 @@
-//! What a plan makes of engines that named a limit.
+//! How plans treat engines with a rate limit.
 
 use std::collections::HashMap;
 
@@ -8,9 +8,10 @@
 
 use super::support::{item, residents};
 
-/// Guards against a plan that counts a copy whole whose engine hardly takes a request, so that its model lacks room.
+/// Guards against a plan that fully counts a copy on an engine that accepts hardly any requests,
+/// which leaves the model without enough capacity.
 #[test]
-fn a_copy_counts_if_its_engine_takes_its_part_of_what_is_asked_for() {
+fn copy_counts_if_rate_limit_covers_its_share_of_demand() {
     let (busy, quiet) = (residents(&["m", "n"]), residents(&["n", "o"]));
     let rate = |requests| Rate { requests, work_ms: 0.0 };
     let demand: HashMap<ModelRef, Rate> = HashMap::from([
--- a/trackfront_core/tests/serving/orders_random.rs
+++ b/trackfront_core/tests/serving/orders_random.rs
@@ -1,5 +1,5 @@
-//! Random runs of several givers of orders, a lease row whose answers get lost, and engines that
-//! carry orders out late and do not check fencing tokens.
+//! Simulates several boxes that compete for the order lease, with lost answers about its row, and
+//! engines that execute orders late and don't check fencing tokens.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -24,15 +24,15 @@
 const TERMS: LeaseTerms =
     LeaseTerms { ttl: Duration::from_millis(1_250), quiet_period: Duration::from_millis(3_400) };
 
-/// The least time between orders of two givers to one engine.
+/// The minimum time between orders of two holders to one engine.
 const QUIET_MS: u64 = 3_000;
 
 const STEP_MS: u64 = 20;
-const GIVERS: usize = 4;
+const CANDIDATES: usize = 4;
 const ENGINES: usize = 3;
 const MODELS: [&str; 6] = ["m0", "m1", "m2", "m3", "m4", "m5"];
 
-/// The row of the lease, and a write that may still be applied.
+/// The row of the lease, and the writes that may still be applied.
 #[derive(Default)]
 struct Row {
     version: u64,
@@ -59,9 +59,9 @@
     }
 }
 
-/// An order on its way to an engine.
+/// An order in transit to an engine.
 #[derive(Clone)]
-struct Sent {
+struct SentOrder {
     due: u64,
     expected: u64,
     operation: Operation,
@@ -71,9 +71,9 @@
 #[derive(Default)]
 struct Engine {
     report: EngineReport,
-    sent: Vec<Sent>,
+    sent: Vec<SentOrder>,
     busy_until: u64,
-    coming: Option<ModelName>,
+    loading: Option<ModelName>,
     last_order: Option<(usize, u64, Fence)>,
     loads: Vec<u64>,
 }
@@ -82,15 +82,15 @@
     fn step(&mut self, now: u64, spec: &EngineSpec) {
         if self.report.busy && now >= self.busy_until {
             self.report.busy = false;
-            self.coming = None;
+            self.loading = None;
         }
         let due: Vec<_> = self.sent.extract_if(.., |sent| sent.due <= now).collect();
         for sent in due {
-            self.take(&sent, now, spec);
+            self.execute(&sent, now, spec);
         }
     }
 
-    fn take(&mut self, sent: &Sent, now: u64, spec: &EngineSpec) {
+    fn execute(&mut self, sent: &SentOrder, now: u64, spec: &EngineSpec) {
         if self.report.busy || sent.expected != self.report.sequence {
             return;
         }
@@ -114,34 +114,34 @@
         );
     }
 
-    /// Notes that an order of `giver` arrives, and checks it against the one before.
-    fn ordered(&mut self, giver: usize, fence: Fence, now: u64) {
+    /// Records an order of `holder`, and checks it against the previous one.
+    fn record_order(&mut self, holder: usize, fence: Fence, now: u64) {
         if let Some((before, then, seen)) = self.last_order {
             assert!(fence >= seen, "token {fence} after {seen}");
-            if before != giver {
-                assert!(fence > seen, "two givers share token {fence}");
-                assert!(now - then >= QUIET_MS, "givers take turns within {} ms", now - then);
+            if before != holder {
+                assert!(fence > seen, "two holders share token {fence}");
+                assert!(now - then >= QUIET_MS, "orders of two holders within {} ms", now - then);
             }
         }
-        self.last_order = Some((giver, now, fence));
+        self.last_order = Some((holder, now, fence));
     }
 }
 
-struct Giver {
+struct Candidate {
     name: NodeId,
     machine: StateMachine<LeaseHolder>,
     seen: Option<ObservedLease>,
     pacer: LoadPacer,
     frozen_until: u64,
     holds: bool,
-    /// What it says of its right, for others to hear.
-    word: Option<LeaseAnnouncement>,
+    /// Its last announcement, which other candidates may receive.
+    announcement: Option<LeaseAnnouncement>,
 }
 
-/// What was last heard of each giver's right.
-type Words = BTreeMap<NodeId, LeaseAnnouncement>;
+/// The last received announcement of each candidate.
+type Announcements = BTreeMap<NodeId, LeaseAnnouncement>;
 
-impl Giver {
+impl Candidate {
     fn new(index: usize) -> Self {
         Self {
             name: NodeId::from(format!("10.0.0.{index}")),
@@ -150,7 +150,7 @@
             pacer: LoadPacer::new(LoadRateTerms::default(), at(0)),
             frozen_until: 0,
             holds: false,
-            word: None,
+            announcement: None,
         }
     }
 
@@ -158,8 +158,14 @@
         self.machine.state().usable(at(now))
     }
 
-    /// Looks at the row and takes or renews the lease; answers get lost at times.
-    fn lease(&mut self, row: &mut Row, words: &Words, now: u64, rng: &mut ChaCha8Rng) {
+    /// Reads the row and takes or renews the lease; some answers are lost.
+    fn lease(
+        &mut self,
+        row: &mut Row,
+        announcements: &Announcements,
+        now: u64,
+        rng: &mut ChaCha8Rng,
+    ) {
         self.machine.handle(&LeaseEvent::Tick(at(now)));
         let version = row.version;
         self.seen = row.row.clone().map(|value| {
@@ -177,8 +183,8 @@
             }
             (None, seen) => {
                 let holder = seen.and_then(|seen| seen.row.holder.as_ref());
-                let word = holder.and_then(|holder| words.get(holder)).copied();
-                match takeover_on_announcement(seen, word, &self.name, TERMS, at(now)) {
+                let announcement = holder.and_then(|holder| announcements.get(holder)).copied();
+                match takeover_on_announcement(seen, announcement, &self.name, TERMS, at(now)) {
                     Some(row) => row,
                     None => {
                         self.holds = false;
@@ -190,9 +196,9 @@
         let expected = if row.row.is_some() { version } else { 0 };
         let fence = wanted.fence;
         match rng.random_range(0..10) {
-            // Nothing arrives now; it may be applied seconds later.
+            // The write doesn't arrive now but may be applied seconds later.
             0 => row.late.push((now + rng.random_range(1_000..6_000), expected, wanted)),
-            // Applied, and the answer is lost.
+            // The write is applied, but the answer is lost.
             1 => _ = row.write(expected, wanted),
             _ => {
                 if row.write(expected, wanted.clone()) {
@@ -200,7 +206,7 @@
                     self.seen =
                         Some(ObservedLease { version: row.version, row: wanted, since: sent_at });
                     self.machine.handle(&LeaseEvent::Written { fence, sent_at });
-                    self.word = Some(LeaseAnnouncement {
+                    self.announcement = Some(LeaseAnnouncement {
                         version: row.version,
                         ends_at: sent_at + TERMS.ttl,
                     });
@@ -213,7 +219,7 @@
         }
     }
 
-    fn give(
+    fn send_order(
         &mut self,
         index: usize,
         engine: &mut Engine,
@@ -237,11 +243,11 @@
             }
             self.pacer.record_load();
         }
-        engine.ordered(index, fence, now);
+        engine.record_order(index, fence, now);
         let late = rng.random_bool(0.35);
         let due = if late { now + rng.random_range(2_000..12_000) } else { now };
         let (expected, model) = (report.sequence, ModelName::from(model));
-        engine.sent.push(Sent { due, expected, operation, model });
+        engine.sent.push(SentOrder { due, expected, operation, model });
     }
 }
 
@@ -249,36 +255,38 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let spec = spec(&MODELS, 0, 0);
     let mut row = Row::default();
-    let mut givers: Vec<_> = (0..GIVERS).map(Giver::new).collect();
+    let mut candidates: Vec<_> = (0..CANDIDATES).map(Candidate::new).collect();
     let mut engines: Vec<_> = (0..ENGINES).map(|_| Engine::default()).collect();
-    let mut words = Words::new();
+    let mut announcements = Announcements::new();
     for step in 0..steps {
         let now = step * STEP_MS;
         row.apply_late(now);
         engines.iter_mut().for_each(|engine| engine.step(now, &spec));
-        for (index, giver) in givers.iter_mut().enumerate() {
-            if now < giver.frozen_until {
+        for (index, candidate) in candidates.iter_mut().enumerate() {
+            if now < candidate.frozen_until {
                 continue;
             }
             match rng.random_range(0..600) {
-                // It stands still, wherever it is.
+                // The process is paused, in whatever state it is.
                 0 => {
-                    giver.frozen_until = now + rng.random_range(500..9_000);
+                    candidate.frozen_until = now + rng.random_range(500..9_000);
                     continue;
                 }
-                // The process is killed and starts again on the same machine.
-                1 => *giver = Giver { name: giver.name.clone(), ..Giver::new(index) },
+                // The process is killed and restarts on the same machine.
+                1 => {
+                    *candidate = Candidate { name: candidate.name.clone(), ..Candidate::new(index) }
+                }
                 _ => {}
             }
-            if let Some(word) = giver.word.filter(|_| rng.random_bool(0.2)) {
-                words.insert(giver.name.clone(), word);
+            if let Some(announcement) = candidate.announcement.filter(|_| rng.random_bool(0.2)) {
+                announcements.insert(candidate.name.clone(), announcement);
             }
             if rng.random_bool(0.1) {
-                giver.lease(&mut row, &words, now, &mut rng);
+                candidate.lease(&mut row, &announcements, now, &mut rng);
             }
             if rng.random_bool(0.2) {
                 let engine = &mut engines[rng.random_range(0..ENGINES)];
-                giver.give(index, engine, &spec, now, &mut rng);
+                candidate.send_order(index, engine, &spec, now, &mut rng);
             }
         }
     }
@@ -289,20 +297,21 @@
 }
 
 #[test]
-fn givers_never_overload_an_engine_nor_meet_there() {
+fn holders_never_overload_an_engine_or_overlap() {
     let mut totals = BTreeMap::new();
     for seed in 0..10 {
         let (orders, fence) = run(seed, 10_000);
         totals.insert(seed, (orders, fence));
     }
-    // 100,000 steps in all; the invariants are asserted in them. The run has to be worth it.
+    // 100,000 steps in all, which assert the invariants. The rest checks that they had enough to
+    // check.
     assert!(totals.values().all(|(orders, _)| *orders > 50), "{totals:?}");
     assert!(totals.values().any(|(_, fence)| *fence > 10), "{totals:?}");
 }
 
-/// Moments before a process's own start do not exist, so a takeover cannot be counted from them.
+/// A process cannot observe a row before its own start, so the delay of a takeover starts there.
 #[test]
-fn a_new_process_watches_from_its_own_start() {
+fn new_process_observes_row_from_its_start() {
     let lease = LeaseRow { holder: Some(NodeId::from("other")), fence: Fence(3), ttl_ms: 1_250 };
     let seen = ObservedLease { version: 1, row: lease, since: Moment::default() };
     assert_eq!(
@@ -315,24 +324,27 @@
 }
 
 #[test]
-fn the_holders_word_counts_for_the_version_that_it_names() {
+fn announcement_counts_only_for_its_version() {
     let lease = LeaseRow { holder: Some(NodeId::from("other")), fence: Fence(3), ttl_ms: 1_250 };
     let seen = ObservedLease { version: 7, row: lease, since: at(10_000) };
     let me = NodeId::from("me");
-    let take = |word, now| takeover_on_announcement(Some(&seen), word, &me, TERMS, at(now));
+    let take = |announcement, now| {
+        takeover_on_announcement(Some(&seen), announcement, &me, TERMS, at(now))
+    };
     let quiet = TERMS.quiet_period.as_millis() as u64;
-    let word = |version| Some(LeaseAnnouncement { version, ends_at: at(9_000) });
-    assert_eq!(take(word(7), 9_000 + quiet - 1), None);
-    assert_eq!(take(word(7), 9_000 + quiet).map(|row| row.fence), Some(Fence(4)));
-    // It wrote once more after that, or nothing was heard: the row has to be watched.
-    assert_eq!(take(word(6), 9_000 + quiet), None);
+    let announced = |version| Some(LeaseAnnouncement { version, ends_at: at(9_000) });
+    assert_eq!(take(announced(7), 9_000 + quiet - 1), None);
+    assert_eq!(take(announced(7), 9_000 + quiet).map(|row| row.fence), Some(Fence(4)));
+    // The holder wrote the row again, or no announcement arrived: the row has to be observed.
+    assert_eq!(take(announced(6), 9_000 + quiet), None);
     assert_eq!(take(None, 9_000 + quiet), None);
-    // A row that was given up: its word says when the right was dropped.
-    let given_up =
+    // A released lease: the announcement says when it was released.
+    let released =
         ObservedLease { row: LeaseRow { holder: None, ..seen.row.clone() }, ..seen.clone() };
-    let take_freed = |now| takeover_on_announcement(Some(&given_up), word(7), &me, TERMS, at(now));
-    assert_eq!(take_freed(9_000 + quiet - 1), None);
-    assert_eq!(take_freed(9_000 + quiet).map(|row| row.fence), Some(Fence(4)));
-    let not_yet = Some(LeaseAnnouncement { version: 7, ends_at: at(20_000) });
-    assert_eq!(take(not_yet, 12_000), None);
+    let take_released =
+        |now| takeover_on_announcement(Some(&released), announced(7), &me, TERMS, at(now));
+    assert_eq!(take_released(9_000 + quiet - 1), None);
+    assert_eq!(take_released(9_000 + quiet).map(|row| row.fence), Some(Fence(4)));
+    let still_valid = Some(LeaseAnnouncement { version: 7, ends_at: at(20_000) });
+    assert_eq!(take(still_valid, 12_000), None);
 }
--- a/trackfront_core/tests/serving/planner.rs
+++ b/trackfront_core/tests/serving/planner.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn steady_demand_gives_no_orders() {
+fn steady_demand_leads_to_no_orders() {
     let spec = spec(&["m", "n", "o"], 0, 0);
     let engines = [engine("x", &["m", "n"]), engine("y", &["m", "o"])];
     let rates = [("m", None, 0.4), ("n", None, 0.05), ("o", None, 0.05)];
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_missing_model_goes_where_it_is_at_hand() {
+fn missing_model_is_loaded_from_local_copy() {
     let spec = spec(&["m", "n"], 0, 0);
     let mut near = engine("y", &["n"]);
     near.on_disk.insert("m".into());
@@ -61,14 +61,14 @@
 }
 
 #[test]
-fn the_last_copy_that_serves_never_gives_way() {
+fn last_serving_copy_is_never_displaced() {
     let spec = spec(&["m", "n", "o", "p"], 0, 0);
-    // Another copy of `n` is on its way in, but serves nobody yet.
-    let mut coming = engine("y", &["m", "o"]);
-    coming.loading = Some("n".into());
-    coming.busy = true;
+    // Another copy of `n` is being loaded but serves no requests yet.
+    let mut loader = engine("y", &["m", "o"]);
+    loader.loading = Some("n".into());
+    loader.busy = true;
     let full = engine("x", &["m", "n", "o"]);
-    let proposals = models_only(&spec, &[full, coming], &[("p", None, 2.0)]);
+    let proposals = models_only(&spec, &[full, loader], &[("p", None, 2.0)]);
     let expected = ("x".into(), Operation::Unload);
     let found: Vec<_> =
         proposals.iter().map(|one| (one.engine.to_string(), one.operation)).collect();
@@ -77,29 +77,29 @@
 }
 
 #[test]
-fn a_place_that_is_promised_is_not_made_twice() {
+fn reserved_slot_is_not_freed_twice() {
     let spec = spec(&["m", "n", "o", "p"], 0, 0);
-    let mut giving = engine("x", &["m", "n", "o"]);
-    giving.leaving = Some("m".into());
-    giving.loading = Some("p".into());
-    giving.busy = true;
-    let proposals = models_only(&spec, &[giving, engine("y", &["m", "n", "o"])], &[]);
+    let mut swapping = engine("x", &["m", "n", "o"]);
+    swapping.leaving = Some("m".into());
+    swapping.loading = Some("p".into());
+    swapping.busy = true;
+    let proposals = models_only(&spec, &[swapping, engine("y", &["m", "n", "o"])], &[]);
     assert_eq!(proposals, []);
 }
 
 #[test]
-fn what_gives_way_names_what_comes() {
+fn unload_names_the_model_it_makes_room_for() {
     let spec = spec(&["m", "n", "o", "p"], 0, 0);
     let engines = [engine("x", &["m", "n", "o"]), engine("y", &["m", "n", "o"])];
     let rates = [("m", None, 0.9), ("n", None, 0.0), ("o", None, 0.9)];
     let proposals = models_only(&spec, &engines, &rates);
-    assert_eq!(proposals[0].item, item("n", None), "the one that is asked for least");
+    assert_eq!(proposals[0].item, item("n", None), "the model with the least demand");
     assert_eq!(proposals[0].makes_room_for, Some("p".into()));
     assert_eq!(proposals.len(), 1);
 }
 
 #[test]
-fn a_model_that_is_asked_for_much_gets_copies_at_once() {
+fn model_in_high_demand_gets_several_copies_at_once() {
     let spec = spec(&["m", "n"], 0, 0);
     let engines = [engine("x", &["m"]), engine("y", &["n"]), engine("z", &[])];
     let proposals = models_only(&spec, &engines, &[("m", None, 1.5), ("n", None, 0.05)]);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_busy_copy_does_not_give_way_to_one_that_nobody_asks_for() {
+fn busy_copy_is_not_displaced_by_model_without_demand() {
     let spec = spec(&["m", "n", "o", "p"], 0, 0);
     let engines = [engine("x", &["m", "n", "o"]), engine("y", &["m", "n", "o"])];
     let rates = [("m", None, 3.0), ("n", None, 3.0), ("o", None, 3.0)];
@@ -117,14 +117,14 @@
 }
 
 #[test]
-fn engines_that_are_busy_get_nothing() {
+fn busy_engines_get_no_orders() {
     let spec = spec(&["m"], 2, 2);
     let engine = EngineView { busy: true, ..engine("x", &[]) };
     assert_eq!(plan(&spec, &[engine], &demand(&[("m", None, 1.0)]), 99).proposals, []);
 }
 
 #[test]
-fn adapters_of_busy_models_are_spread_over_their_copies() {
+fn adapters_are_distributed_over_copies_of_their_model() {
     let spec = spec(&["m"], 4, 2);
     let engines = [engine("x", &["m"]), engine("y", &["m"])];
     let proposals = plan(&spec, &engines, &demand(&[("m", None, 0.1)]), 99).proposals;
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn an_adapter_that_is_asked_for_displaces_one_that_is_not() {
+fn adapter_in_demand_displaces_one_without() {
     let spec = spec(&["m"], 3, 2);
     let mut full = engine("x", &["m"]);
     full.models = with_adapter(with_adapter(full.models, "m", "a1"), "m", "a2");
@@ -147,11 +147,11 @@
     ];
     assert_eq!(names(&proposals), expected);
     let quiet = plan(&spec, &[full], &demand(&[("m", None, 0.1)]), 99).proposals;
-    assert_eq!(quiet, [], "what nobody asks for displaces nothing");
+    assert_eq!(quiet, [], "an adapter without demand displaces nothing");
 }
 
 #[test]
-fn a_copy_whose_adapters_are_nowhere_else_gives_way_last() {
+fn copy_with_unique_adapters_is_displaced_last() {
     let spec = spec(&["m", "n", "o", "p"], 3, 4);
     let mut with_adapters = engine("x", &["m", "n", "o"]);
     for adapter in ["a1", "a2", "a3"] {
@@ -165,14 +165,14 @@
 }
 
 #[test]
-fn an_adapter_in_use_does_not_give_way() {
+fn adapter_in_use_is_not_displaced() {
     let spec = spec(&["m"], 3, 2);
     let mut full = engine("x", &["m"]);
     full.models = with_adapter(with_adapter(full.models, "m", "a1"), "m", "a2");
     full.in_use.insert(item("m", Some("a2")));
     let rates = [("m", None, 0.1), ("m", Some("a1"), 0.05), ("m", Some("a3"), 0.06)];
     let proposals = plan(&spec, &[full], &demand(&rates), 99).proposals;
-    // `a2` is asked for least but in use; `a1` is asked for nearly as much as what comes.
+    // `a2` has the least demand but is in use; the demand for `a1` is nearly that of the new adapter.
     let expected = [
         ("x".into(), Operation::Unload, "m/a1".into()),
         ("x".into(), Operation::Load, "m/a3".into()),
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn loads_that_the_weight_store_does_not_allow_are_not_proposed() {
+fn loads_beyond_weight_store_rate_are_not_proposed() {
     let spec = spec(&["m", "n", "o"], 0, 0);
     let mut near = engine("y", &[]);
     near.on_disk.insert("n".into());
@@ -189,18 +189,22 @@
     let proposals = plan(&spec, &engines, &demand(&[("m", None, 0.3)]), 1).proposals;
     let expected =
         [("x".into(), Operation::Load, "m".into()), ("y".into(), Operation::Load, "n".into())];
-    assert_eq!(names(&proposals), expected, "one from the store, the busiest, and one from disk");
+    assert_eq!(
+        names(&proposals),
+        expected,
+        "the model in most demand from the store, and one from disk"
+    );
 }
 
-/// Two engines that hold one model each beside `i`, of which x keeps a copy on its disk.
+/// Returns two full engines; `x` holds the idle model `i` and has a copy of it on its disk.
 fn engines_with_an_idle_model() -> [EngineView; 2] {
-    let mut keeps = engine("x", &["m", "n", "i"]);
-    keeps.on_disk.insert("i".into());
-    [keeps, engine("y", &["m", "n", "o"])]
+    let mut with_copy = engine("x", &["m", "n", "i"]);
+    with_copy.on_disk.insert("i".into());
+    [with_copy, engine("y", &["m", "n", "o"])]
 }
 
 #[test]
-fn the_last_copy_of_what_nobody_asks_for_gives_way_to_what_is_overloaded() {
+fn last_copy_of_idle_model_is_displaced_by_overloaded_model() {
     let spec = spec(&["m", "n", "o", "i"], 0, 0);
     let rates = [("m", None, 1.8), ("n", None, 1.8), ("o", None, 1.8)];
     let proposals = models_only(&spec, &engines_with_an_idle_model(), &rates);
@@ -209,25 +213,29 @@
 }
 
 #[test]
-fn the_last_copy_stays_if_it_is_asked_for_or_would_be_slow_to_come_back() {
+fn last_copy_stays_if_in_demand_or_slow_to_reload() {
     let spec = spec(&["m", "n", "o", "i"], 0, 0);
     let engines = engines_with_an_idle_model();
-    let asked = [("m", None, 0.9), ("n", None, 0.9), ("o", None, 0.9), ("i", None, 0.01)];
-    assert_eq!(models_only(&spec, &engines, &asked), []);
-    let nowhere = engines.map(|one| EngineView { on_disk: BTreeSet::new(), ..one });
+    let with_demand = [("m", None, 0.9), ("n", None, 0.9), ("o", None, 0.9), ("i", None, 0.01)];
+    assert_eq!(models_only(&spec, &engines, &with_demand), []);
+    let without_copies = engines.map(|one| EngineView { on_disk: BTreeSet::new(), ..one });
     let rates = [("m", None, 1.8), ("n", None, 1.8), ("o", None, 1.8)];
-    assert_eq!(models_only(&spec, &nowhere, &rates), []);
+    assert_eq!(models_only(&spec, &without_copies, &rates), []);
 }
 
 #[test]
-fn what_gave_way_comes_back_once_it_is_asked_for() {
+fn displaced_model_is_reloaded_once_in_demand() {
     let spec = spec(&["m", "n", "o", "i"], 0, 0);
     let mut engines = engines_with_an_idle_model();
     engines[0].models = residents(&["m", "n", "o"]);
     let idle = [("m", None, 1.8), ("n", None, 1.8), ("o", None, 1.8)];
-    assert_eq!(models_only(&spec, &engines, &idle), [], "the room is worth more to the others");
-    let asked = [("m", None, 0.2), ("n", None, 0.2), ("o", None, 0.2), ("i", None, 0.01)];
-    let proposals = models_only(&spec, &engines, &asked);
+    assert_eq!(
+        models_only(&spec, &engines, &idle),
+        [],
+        "the memory has more value for the other models"
+    );
+    let with_demand = [("m", None, 0.2), ("n", None, 0.2), ("o", None, 0.2), ("i", None, 0.01)];
+    let proposals = models_only(&spec, &engines, &with_demand);
     assert_eq!(proposals[0].makes_room_for, Some("i".into()));
-    assert_eq!(proposals[0].engine.as_str(), "x", "where it is at hand");
+    assert_eq!(proposals[0].engine.as_str(), "x", "the engine with a local copy");
 }
--- a/trackfront_core/tests/serving/planner_random.rs
+++ b/trackfront_core/tests/serving/planner_random.rs
@@ -1,4 +1,4 @@
-//! What holds for every plan, on random states of engines.
+//! Checks the invariants of plans on random states of engines.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -16,8 +16,8 @@
 
 const CASES: u64 = 2_000;
 
-/// How many orders to adapters an engine gets in one plan.
-const ADAPTERS_AT_ONCE: usize = 4;
+/// The maximum number of adapter orders for an engine in one plan.
+const MAX_ADAPTER_ORDERS: usize = 4;
 
 struct State {
     spec: EngineSpec,
@@ -104,49 +104,51 @@
         assert!(!engine.busy, "{id} is busy");
         let of_models = orders.iter().filter(|one| one.item.adapter.is_none()).count();
         match of_models {
-            0 => assert!(orders.len() <= ADAPTERS_AT_ONCE, "{id} gets {}", orders.len()),
+            0 => assert!(orders.len() <= MAX_ADAPTER_ORDERS, "{id} gets {}", orders.len()),
             _ => assert_eq!(orders.len(), 1, "{id} gets one order for a model and no other"),
         }
         for order in orders.iter().filter(|one| one.item.adapter.is_none()) {
-            let comes = order.makes_room_for.as_ref().unwrap_or(&order.item.model);
-            let at_hand = engine.in_memory.contains(comes) || engine.on_disk.contains(comes);
-            from_store += usize::from(!at_hand);
-            let there = engine.models.contains_key(&order.item.model);
-            assert_eq!(there, order.operation == Operation::Unload, "{order:?}");
+            let loaded = order.makes_room_for.as_ref().unwrap_or(&order.item.model);
+            let has_local_copy =
+                engine.in_memory.contains(loaded) || engine.on_disk.contains(loaded);
+            from_store += usize::from(!has_local_copy);
+            let is_loaded = engine.models.contains_key(&order.item.model);
+            assert_eq!(is_loaded, order.operation == Operation::Unload, "{order:?}");
             if order.operation == Operation::Load {
-                assert!(engine.models.len() < 3, "{id} has no room for {comes}");
+                assert!(engine.models.len() < 3, "{id} has no room for {loaded}");
             }
         }
     }
     assert!(from_store <= state.store_loads, "{from_store} loads from the weight store");
 }
 
-/// A model that gives way is served by another engine, or one that lets it go keeps the weights.
+/// Checks that an unloaded model is served by another engine, or that an engine that unloads it
+/// keeps a local copy.
 fn check_last_copies(state: &State, proposals: &[Proposal]) {
-    let mut going: BTreeMap<&ModelName, Vec<&EngineView>> = BTreeMap::new();
+    let mut unloaded: BTreeMap<&ModelName, Vec<&EngineView>> = BTreeMap::new();
     for proposal in proposals.iter().filter(|one| one.item.adapter.is_none()) {
         if proposal.operation == Operation::Unload {
             let engine = state.engines.iter().find(|one| one.id == proposal.engine);
-            going.entry(&proposal.item.model).or_default().push(engine.expect("known"));
+            unloaded.entry(&proposal.item.model).or_default().push(engine.expect("known"));
         }
     }
-    for (model, from) in going {
+    for (model, from) in unloaded {
         let serves = |engine: &EngineView| {
-            let comes = engine.loading.as_ref() == Some(model);
-            let goes = engine.leaving.as_ref() == Some(model)
+            let is_loading = engine.loading.as_ref() == Some(model);
+            let is_leaving = engine.leaving.as_ref() == Some(model)
                 || from.iter().any(|other| other.id == engine.id);
-            engine.models.contains_key(model) && !comes && !goes
+            engine.models.contains_key(model) && !is_loading && !is_leaving
         };
         let keeps = |engine: &&EngineView| {
             engine.in_memory.contains(model) || engine.on_disk.contains(model)
         };
-        let is_left = from.iter().any(keeps) || state.engines.iter().any(serves);
-        assert!(is_left, "{model} is nowhere left");
+        let remains = from.iter().any(keeps) || state.engines.iter().any(serves);
+        assert!(remains, "{model} has no copy left");
     }
 }
 
 #[test]
-fn every_plan_keeps_room_rate_and_last_copies() {
+fn plans_respect_memory_load_rate_and_last_copies() {
     let mut orders = 0;
     for seed in 0..CASES {
         let state = state(seed);
@@ -157,5 +159,5 @@
         assert_eq!(planned, again, "a plan depends on its inputs alone");
         orders += planned.proposals.len();
     }
-    assert!(orders > 10_000, "the states give plans to check: {orders}");
+    assert!(orders > 10_000, "too few orders were checked: {orders}");
 }
