--- a/trackfrontd/src/serving/messages.rs
+++ b/trackfrontd/src/serving/messages.rs
@@ -1,4 +1,6 @@
-//! What nodes send to each other, in one datagram each.
+//! The datagrams that boxes exchange.
+//!
+//! They are encoded by position: fields and variants may be renamed, but not reordered or removed.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -14,262 +16,262 @@
 use super::feed_relay::FeedUpdate;
 use super::missing_items::PendingItem;
 
-/// How many requests of one rank a box can have under way at a server: more than it takes connections. What
-/// is told beyond that is wrong, and sums over all boxes stay far from the end of their range.
-const MAX_TOLD_REQUESTS: u32 = 10_000;
+/// The most requests of one rank that a report may claim for a server: more than a box accepts connections.
+/// Larger counts are bogus, and capping them keeps sums over all boxes far from overflow.
+const MAX_REPORTED_REQUESTS: u32 = 10_000;
 
-/// What nodes send to each other.
+/// A message between boxes, sent in one datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The load at a node.
+    /// The periodic state and load of a box.
     Digest(Digest),
-    /// The demand at a node, for the giver of orders.
+    /// The demand at a box, for the holder of the order lease.
     Demand(DemandReport),
-    /// What a box learned from the platform, for those in its hall.
+    /// An update from the platform's feeds, for the boxes of the sender's hall.
     FeedUpdate(FeedUpdate),
-    /// The same, packed.
+    /// A [`FeedUpdate`], compressed.
     PackedFeedUpdate(Vec<u8>),
-    /// Items that are on their way, for a box that lacks them.
+    /// Items that engines are loading, for a box that is missing them.
     PendingItems(Vec<PendingItem>),
-    /// All boxes that a list had.
+    /// The full list of boxes.
     BoxList(BoxListUpdate),
-    /// A question for the newest row of the configuration.
+    /// A request for the newest configuration row.
     ConfigVersionRequest(ConfigVersionRequest),
-    /// The answer to it.
+    /// The reply to a [`ConfigVersionRequest`].
     ConfigVersionReply(ConfigVersionReply),
-    /// A question to the keeper of some accounts' limits.
+    /// A request to the coordinator of some accounts' limits.
     QuotaRequest(Ask),
-    /// The answer to it.
+    /// The reply to a quota request.
     QuotaReply(Answer),
-    /// What is known of requests that crash servers.
+    /// Requests that are suspected of crashing servers.
     CrashReports(Vec<CrashReport>),
-    /// Servers that have ended, by their short names.
+    /// Short names of servers that have ended.
     ServersEnded(Vec<u32>),
-    /// What the giver of orders did, passed on by the first box of a hall.
+    /// Overlay entries of the order holder, forwarded within a hall by its first delegate.
     OverlayEntries(Vec<OverlayEntry>),
-    /// What servers said of themselves.
+    /// Notices that servers gave in their responses.
     Notices(NoticeBatch),
-    /// A question to the keeper of a server's turns.
+    /// A request to the coordinator of a server's permits.
     PermitRequest(PermitRequest),
-    /// The answer to it.
+    /// The reply to a [`PermitRequest`].
     PermitReply(PermitReply),
 }
 
-/// All boxes that a list had.
+/// The full list of boxes, as one box read it from the platform's table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxListUpdate {
-    /// The boxes.
+    /// All boxes, the receiver among them.
     pub boxes: Vec<ListedBox>,
-    /// Whether the box that gets this is to hand it on to its hall.
+    /// Whether the receiver forwards the list to its part of its hall.
     pub forward: bool,
 }
 
-/// What servers said of themselves.
+/// Notices that servers gave in their responses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NoticeBatch {
-    /// What each said.
+    /// The notices, one for each server and kind.
     pub notices: Vec<NoticeRecord>,
-    /// Whether the box that gets this is to hand it on to its hall.
+    /// Whether the receiver forwards them to its part of its hall.
     pub forward: bool,
 }
 
-/// What a server said of itself, and how many milliseconds ago.
+/// A notice of one server and its age.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NoticeRecord {
     /// The server's short name.
     pub server: u32,
-    /// What it said.
+    /// The content of the notice.
     pub kind: NoticeKind,
-    /// How long ago it last did, in milliseconds.
+    /// The time since the server last gave it, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What a server said of itself.
+/// The content of a server's notice.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum NoticeKind {
-    /// It leaves.
+    /// The server is leaving.
     Leaves,
-    /// It takes so many requests a second from all boxes together.
+    /// The server accepts this many requests a second from all boxes together.
     Limit(f64),
-    /// It names no limit any more.
+    /// The server no longer names a limit.
     LimitOver,
-    /// It is cold for so many milliseconds more.
+    /// The server stays cold for this many more milliseconds.
     Cold(u32),
 }
 
-/// A question for a turn at a server that named a limit.
+/// A request for a permit to send one request to a server that named a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// Which question it is of those of the box that asks.
+    /// The number of the permit request, unique at the requesting box.
     pub number: u32,
     /// The server's short name.
     pub server: u32,
-    /// Its limit in requests a second, as the box that asks knows it.
+    /// The server's limit in requests a second, as the requesting box knows it.
     pub per_s: f64,
-    /// How long the box would wait for the turn, in milliseconds.
+    /// The longest time that the request can wait for the permit, in milliseconds.
     pub max_wait_ms: u32,
-    /// Whether the first keeper did not answer.
+    /// Whether this goes to the standby because the coordinator did not reply.
     pub is_standby: bool,
 }
 
-/// The answer to a question for a turn.
+/// The reply to a [`PermitRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitReply {
-    /// The question that this answers.
+    /// The number of the permit request.
     pub number: u32,
-    /// Whether the box has the turn; else it comes too late.
+    /// Whether the permit is granted; otherwise it would come too late.
     pub is_granted: bool,
-    /// In how many milliseconds it comes.
+    /// The time until the permit is valid, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// Something that the giver of orders did: server, item, whether it was added (else withdrawn).
+/// A change by the order holder: server, item, and whether the item was added (otherwise withdrawn).
 pub type OverlayEntry = (u32, u32, bool);
 
-/// Who gives orders, as a box last heard.
+/// The sender's latest information on the holder of the order lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderReport {
-    /// Its address.
+    /// The address of the box.
     pub ip: Ipv4Addr,
-    /// Whether it gives orders, by its own word.
+    /// Whether that box last announced that it holds the lease.
     pub holds_lease: bool,
-    /// How many milliseconds ago it said so.
+    /// The age of that announcement in milliseconds.
     pub age_ms: u32,
-    /// Until when it may.
+    /// The end of its lease, if known.
     pub lease: Option<LeaseReport>,
 }
 
-/// A question for the newest row of the configuration.
+/// A request for the newest configuration row that a box knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigVersionRequest {
-    /// Which question it is of those of the box that asks.
+    /// The number of the request, unique at the requesting box.
     pub number: u32,
 }
 
-/// What a box knows of the newest row of the configuration.
+/// The reply to a [`ConfigVersionRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigVersionReply {
-    /// The question that this answers.
+    /// The number of the request.
     pub number: u32,
-    /// The row that is in force at the box which answers.
+    /// The row in force at the replying box.
     pub row: u64,
-    /// How many milliseconds before the answer it was the newest for certain.
+    /// The time since that row was last confirmed to be the newest, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What a node tells.
+/// The periodic state and load of a box.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The short name of the node's zone.
+    /// The short name of the box's hall.
     pub hall: u32,
-    /// How much the node can bear.
+    /// The capacity of the box, which orders the boxes of a hall.
     pub capacity: CapacityClass,
     /// The version of the configuration in force.
     pub config_version: u64,
-    /// Whether the node holds the lease on orders.
+    /// Whether the box holds the order lease.
     pub holds_order_lease: bool,
-    /// Whether the node is stopping.
+    /// Whether the box is stopping.
     pub stopping: bool,
-    /// Whether the platform's store last failed the node.
+    /// Whether the box's last call to the platform's store failed.
     pub store_lost: bool,
-    /// Until when it may give orders, if it held the lease last.
+    /// The end of the box's own order lease, also after it lost the lease.
     pub lease: Option<LeaseReport>,
-    /// Who gives orders, where that is another.
+    /// The holder of the order lease, if that is another box.
     pub holder: Option<HolderReport>,
-    /// Requests under way.
+    /// The requests that the box has in flight at each server.
     pub server_loads: Vec<ServerLoadReport>,
-    /// What it did, if it gives orders.
+    /// The overlay entries of the box, if it holds the order lease.
     pub overlay_entries: Vec<OverlayEntry>,
 }
 
-/// What a node is asked for.
+/// The demand at a box.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandReport {
     /// Item, hundredths of requests a second, milliseconds of work a second.
     pub rates: Vec<(u32, u32, u32)>,
-    /// Items that were asked for and that no engine holds.
+    /// Requested items that no engine holds.
     pub missing_items: Vec<u32>,
     /// Adapters that requests in progress use: server, item.
     pub in_use: Vec<(u32, u32)>,
 }
 
-/// Until when a node may give orders under a version of the lease's row.
+/// The end of an order lease, relative to the moment of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseReport {
-    /// The version of the row.
+    /// The version of the lease's row.
     pub version: u64,
-    /// The milliseconds that are left; negative once they are over.
+    /// The remaining milliseconds, negative once the lease has ended.
     pub remaining_ms: i64,
 }
 
 impl LeaseReport {
-    /// Returns what is told of a right at `now`; `None` for one that was over long before any box started.
-    pub fn from_announcement(word: LeaseAnnouncement, now: Moment) -> Option<Self> {
-        let LeaseAnnouncement { version, ends_at } = word;
-        let (left, over) = (ends_at.since(now).as_millis(), now.since(ends_at).as_millis());
-        let left_ms = i64::try_from(left).ok()? - i64::try_from(over).ok()?;
-        Some(Self { version, remaining_ms: left_ms })
+    /// Returns the report of an announcement as of `now`, or `None` if its times are out of range.
+    pub fn from_announcement(announcement: LeaseAnnouncement, now: Moment) -> Option<Self> {
+        let LeaseAnnouncement { version, ends_at } = announcement;
+        let (remaining, over) = (ends_at.since(now).as_millis(), now.since(ends_at).as_millis());
+        let remaining_ms = i64::try_from(remaining).ok()? - i64::try_from(over).ok()?;
+        Some(Self { version, remaining_ms })
     }
 
-    /// Returns the word as of the moment at which it came. It was said before, so the right ends no
-    /// later than that.
+    /// Returns the announcement as of its receipt at `now`. The report was sent earlier, so the lease ends no later
+    /// than the returned moment.
     pub fn announcement(self, now: Moment) -> LeaseAnnouncement {
-        let left = Duration::from_millis(self.remaining_ms.max(0).unsigned_abs());
+        let remaining = Duration::from_millis(self.remaining_ms.max(0).unsigned_abs());
         let over = Duration::from_millis(self.remaining_ms.min(0).unsigned_abs());
         LeaseAnnouncement {
             version: self.version,
-            ends_at: Moment((now + left).0.saturating_sub(over)),
+            ends_at: Moment((now + remaining).0.saturating_sub(over)),
         }
     }
 }
 
-/// What a node has under way at one server.
+/// The requests that a box has in flight at one server.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerLoadReport {
     /// The server's short name.
     pub server: u32,
-    /// For each rank that has some.
+    /// The load of each rank that has requests in flight.
     pub ranks: Vec<RankLoadReport>,
 }
 
-/// What is under way for requests of one rank.
+/// The requests of one rank in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankLoadReport {
-    /// The rank.
+    /// The rank, an index into the ranks of [`InFlight`].
     pub rank: u8,
-    /// Requests.
+    /// The number of requests.
     pub requests: u32,
-    /// Milliseconds of reading.
+    /// Expected prefill work in milliseconds.
     pub prefill_ms: u32,
-    /// Milliseconds of making answers.
+    /// Expected decode work in milliseconds.
     pub decode_ms: u32,
 }
 
 impl ServerLoadReport {
-    /// Makes it out of a share, to the millisecond.
-    pub fn new(server: u32, share: &InFlight) -> Self {
-        let ranks = share.by_rank.iter().enumerate().filter(|(_, one)| one.requests > 0);
-        let told = |(rank, one): (usize, &RankInFlight)| RankLoadReport {
+    /// Creates a report of the load at a server, rounded to milliseconds.
+    pub fn new(server: u32, in_flight: &InFlight) -> Self {
+        let ranks = in_flight.by_rank.iter().enumerate().filter(|(_, load)| load.requests > 0);
+        let report = |(rank, load): (usize, &RankInFlight)| RankLoadReport {
             rank: rank as u8,
-            requests: one.requests,
-            prefill_ms: one.prefill_ms.round() as u32,
-            decode_ms: one.decode_ms.round() as u32,
+            requests: load.requests,
+            prefill_ms: load.prefill_ms.round() as u32,
+            decode_ms: load.decode_ms.round() as u32,
         };
-        Self { server, ranks: ranks.map(told).collect() }
+        Self { server, ranks: ranks.map(report).collect() }
     }
 
-    /// Returns the share.
+    /// Returns the reported load, with unknown ranks left out and request counts capped.
     pub fn in_flight(&self) -> InFlight {
-        let mut share = InFlight::default();
-        for told in &self.ranks {
-            if let Some(rank) = share.by_rank.get_mut(usize::from(told.rank)) {
-                *rank = RankInFlight {
-                    requests: told.requests.min(MAX_TOLD_REQUESTS),
-                    prefill_ms: f64::from(told.prefill_ms),
-                    decode_ms: f64::from(told.decode_ms),
+        let mut in_flight = InFlight::default();
+        for report in &self.ranks {
+            if let Some(load) = in_flight.by_rank.get_mut(usize::from(report.rank)) {
+                *load = RankInFlight {
+                    requests: report.requests.min(MAX_REPORTED_REQUESTS),
+                    prefill_ms: f64::from(report.prefill_ms),
+                    decode_ms: f64::from(report.decode_ms),
                 };
             }
         }
-        share
+        in_flight
     }
 }
--- a/trackfrontd/tests/messages.rs
+++ b/trackfrontd/tests/messages.rs
@@ -1,4 +1,4 @@
-//! What other boxes tell, where it cannot be true.
+//! Bogus and large messages between boxes.
 
 use std::collections::BTreeSet;
 
@@ -7,10 +7,10 @@
 use trackfrontd::serving::messages::{RankLoadReport, ServerLoadReport};
 use trackfrontd::serving::packing::pack;
 
-/// Datagrams are not authenticated, so anybody on the network can send one with any counts. Their sum over the
-/// ranks of a server, and over the boxes that tell of it, must not leave the range of its type.
+/// Guards against an integer overflow by bogus request counts: datagrams are not authenticated, and the counts are
+/// summed over the ranks of a server and over the boxes that report it.
 #[test]
-fn counts_of_requests_that_no_box_can_have_do_not_overflow_their_sums() {
+fn implausible_request_counts_do_not_overflow_sums() {
     let ranks = (0..10)
         .map(|rank| RankLoadReport {
             rank,
@@ -19,14 +19,14 @@
             decode_ms: u32::MAX,
         })
         .collect();
-    let share = ServerLoadReport { server: 1, ranks }.in_flight();
-    assert!(share.requests() < u32::MAX / 1_000, "a thousand boxes may tell that");
+    let in_flight = ServerLoadReport { server: 1, ranks }.in_flight();
+    assert!(in_flight.requests() < u32::MAX / 1_000, "a thousand boxes may report that");
 }
 
-/// What one change of a server has, in bytes, where many go together: in a hall of sixty boxes each is sent to
-/// sixty. The start of the run, which stands in its identity and beside its key, takes 11 of these 54 bytes.
+/// Bounds the compressed size of a server change, since a hall's reader sends each one to every box of the hall,
+/// sixty or so. Of 54 bytes, the start time in the incarnation's ID and beside its key takes 11.
 #[test]
-fn changes_of_servers_are_small_once_packed() {
+fn packed_server_changes_are_small() {
     let names: Vec<String> =
         (0..24).map(|number| format!("i-{:08x}", number * 0x9E37_79B9u64)).collect();
     let change = |(index, name): (usize, &String)| ServerChange::Set {
@@ -52,8 +52,8 @@
         },
     };
     let changes: Vec<ServerChange> = names.iter().enumerate().map(change).collect();
-    let relay = FeedUpdate::Servers { from: 999, to: 1_023, changes, lapses_ms: 0 };
-    let bytes = pack(&relay).len() / names.len();
+    let update = FeedUpdate::Servers { from: 999, to: 1_023, changes, lapses_ms: 0 };
+    let bytes = pack(&update).len() / names.len();
     println!("{bytes} bytes a change");
     assert!(bytes <= 60, "{bytes}");
 }
