--- a/trackfrontd/src/serving/node.rs
+++ b/trackfrontd/src/serving/node.rs
@@ -1,4 +1,4 @@
-//! What a serving node knows, and the ports through which it acts.
+//! The shared state of a serving node and the ports to its surroundings.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -44,112 +44,112 @@
 use super::suspension::Suspensions;
 use super::unusable_rows::UnusableRows;
 
-/// The part of the time that a draining server goes on for, in which it is still sent what no
-/// other can answer.
-const DRAIN_PART: f64 = 0.25;
+/// The fraction of the drain time, from when this box learned of the drain, during which a draining server may still be
+/// sent requests that no other server can answer.
+const DRAIN_GRACE_FRACTION: f64 = 0.25;
 
-/// The part of that time, from when the server may have begun to drain, after which nothing is sent to it. A box
-/// whose hall is read late learns late, 0.85 of the time after the server's word at the worst that is waited for: with
-/// the part above alone the last request would go there 1.1 times the promised time after it.
-const DRAIN_END_PART: f64 = 0.6;
+/// The fraction of the drain time, from when the server may have begun to drain, after which it is sent nothing. A box
+/// whose hall's reader failed learns of the drain up to 0.85 of the drain time late; with [`DRAIN_GRACE_FRACTION`] alone
+/// it would send the last request 1.1 drain times after the server announced the drain.
+const DRAIN_END_FRACTION: f64 = 0.6;
 
-/// How long after its start a node waits to learn of the others before it acts alone.
-const ALONE_FOR: Duration = Duration::from_millis(2_000);
+/// The longest time after its start that a node waits to discover its peers before it acts for the whole deployment.
+const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(2_000);
 
-/// How long after the others were listed they have been heard: a round of digests to many nodes.
-const HEARD_AFTER: Duration = Duration::from_millis(800);
+/// The time after the peers were listed until their digests have arrived: a round of digests in a large fleet.
+const FIRST_DIGEST_TIME: Duration = Duration::from_millis(800);
 
-/// The outside of a serving node.
+/// The interfaces of a serving node to its surroundings.
 #[derive(Clone)]
 pub struct ServingPorts {
-    /// The configuration and the servers.
+    /// The source of the configuration and the server list.
     pub knowledge: Arc<dyn Knowledge>,
-    /// The platform's table, for the lease and the nodes.
+    /// The platform's table, which stores the order lease and the rows of boxes.
     pub table: Arc<dyn Table>,
     /// The interface to clients.
     pub clients: Arc<dyn ClientInterface>,
-    /// The interface to servers.
+    /// The interface to backend servers.
     pub servers: Arc<dyn ServerInterface>,
-    /// The clock.
+    /// The clock that all decisions use.
     pub clock: Arc<dyn Clock>,
 }
 
-/// A serving node. Each part of the state stands under its own lock; no lock is held over a wait.
+/// The shared state of a serving node. Each part has its own lock, and no lock is held across an await.
 pub struct ServingNode {
-    /// The settings.
+    /// The settings, replaced on reload.
     pub settings: ArcSwap<ServingSettings>,
-    /// The outside.
+    /// The interfaces to the node's surroundings.
     pub ports: ServingPorts,
-    /// Connections to servers.
+    /// The connections to backend servers.
     pub pool: UpstreamPool,
     /// The metrics.
     pub metrics: ServingMetrics,
-    /// The configuration in force.
+    /// The configuration in force, if any.
     pub config: ArcSwapOption<ServingConfig>,
-    /// How new it is.
+    /// The time since the configuration in force was confirmed to be the newest.
     pub config_freshness: ConfigFreshness,
-    /// The servers.
+    /// The known backend servers.
     pub directory: Mutex<Directory>,
-    /// The halls that the operator empties.
+    /// The halls that the operator has evacuated.
     pub evacuations: Mutex<Evacuations>,
-    /// The load of servers.
+    /// The load of each server.
     pub loads: Mutex<LoadTracker>,
-    /// The servers that are cold.
+    /// The servers that are cold, and what they may be sent.
     pub cold: Mutex<ColdTracker>,
-    /// What servers said of themselves in their answers.
+    /// Notices that servers gave in their responses.
     pub notices: Mutex<NoticeTracker>,
-    /// What of that other boxes are yet to be told.
+    /// Notices that are yet to be sent to other boxes.
     pub notice_outbox: NoticeOutbox,
-    /// Turns at servers that named a limit.
+    /// Permits for servers that named a limit.
     pub permits: ServerPermits,
-    /// Prompts that engines keep.
+    /// Prompt prefixes that engines have cached.
     pub prompt_memory: Mutex<PrefixIndex>,
-    /// The budget of retries.
+    /// The retry budgets of the services.
     pub retry_budgets: Mutex<RetryBudgets>,
-    /// What share of requests found no free server.
+    /// The fraction of requests that found no free server.
     pub saturation: Mutex<Saturation>,
-    /// Which requests come back after a refusal.
+    /// Requests that clients send again after a refusal.
     pub refusal_retries: Mutex<RefusalRetries>,
-    /// The demand for models.
+    /// The demand for models and adapters.
     pub demand: Mutex<DemandMeter>,
     /// The adapters that requests in progress use.
     pub adapter_use: Mutex<AdapterUse>,
-    /// What is lacking, and who lacks it.
+    /// Requested items that no engine holds, and the boxes that are missing them.
     pub missing_items: MissingItems,
-    /// Notes of the giver of orders.
+    /// Changes by the order holder that the server list does not show yet.
     pub overlay: Mutex<Overlay>,
     /// The limits of client accounts.
     pub quotas: Quotas,
     /// Requests that crash servers.
     pub crashes: Crashes,
-    /// The other nodes.
+    /// The other boxes.
     pub peers: Mutex<PeerTracker>,
-    /// What readers of this hall relay from the platform.
+    /// The progress of the platform's feeds, as this box and its hall's reader see it.
     pub feed_state: Mutex<FeedState>,
-    /// Rows of the platform that name no server.
+    /// Rows of the server list that do not describe a usable server.
     pub unusable_rows: UnusableRows,
-    /// Copies that boxes give each other.
+    /// The snapshots that boxes fetch from each other.
     pub exchange: Exchange,
-    /// Told when something came from a reader.
+    /// Notified when an update from a feed reader has arrived.
     pub feed_update_received: Notify,
-    /// Told when the machine was suspended.
+    /// Notified when the machine was suspended.
     pub suspensions: Suspensions,
-    /// Short names of servers and items.
+    /// The short names of servers and items.
     pub names: Mutex<ShortNames>,
-    /// Told when servers or notes have changed.
+    /// Notified when servers or overlay entries have changed.
     pub servers_changed: Notify,
-    /// Told when peers should hear of something at once.
+    /// Notified when a digest should be sent early.
     pub digest_requested: Notify,
-    /// Told when something is asked for that no engine holds.
+    /// Notified when an item is requested that no engine holds.
     pub missing_item_added: Notify,
     started: Moment,
-    /// Until when a box that knows no other does not act alone.
-    not_alone_until: Mutex<Moment>,
+    /// Until when a box that knows no peers leaves work for the whole deployment alone.
+    discovery_ends_at: Mutex<Moment>,
     knows_servers: AtomicBool,
-    nodes_listed_at: Mutex<Option<Moment>>,
-    first_list_over: watch::Sender<bool>,
-    told_of_boxes: AtomicBool,
-    is_one_of_many: AtomicBool,
+    boxes_listed_at: Mutex<Option<Moment>>,
+    first_listing_over: watch::Sender<bool>,
+    box_list_received: AtomicBool,
+    prefers_snapshots: AtomicBool,
     config_row: AtomicU64,
     config_row_in_force: AtomicU64,
     store_lost: AtomicBool,
@@ -158,13 +158,13 @@
 }
 
 impl ServingNode {
-    /// Makes a node that knows nothing yet.
+    /// Creates a node without configuration, servers or peers.
     pub fn new(settings: ServingSettings, ports: ServingPorts) -> Arc<Self> {
         let budgets = RetryBudgets::new(settings.promises.budget());
         let directory = Directory::new(settings.promises.heartbeat());
         let started = ports.clock.now();
         let peers = Mutex::new(PeerTracker::new(settings.listed_box()));
-        // Questions of an earlier process at this address had other numbers, those for turns as well.
+        // Random first numbers keep replies to an earlier process at this address apart, for permits as well.
         let quotas = Quotas::new(box_id(settings.node.ip), rand::random());
         Arc::new(Self {
             settings: ArcSwap::from_pointee(settings),
@@ -201,12 +201,12 @@
             digest_requested: Notify::new(),
             missing_item_added: Notify::new(),
             started,
-            not_alone_until: Mutex::new(started + ALONE_FOR),
+            discovery_ends_at: Mutex::new(started + PEER_DISCOVERY_TIME),
             knows_servers: AtomicBool::new(false),
-            nodes_listed_at: Mutex::default(),
-            first_list_over: watch::Sender::new(false),
-            told_of_boxes: AtomicBool::new(false),
-            is_one_of_many: AtomicBool::new(false),
+            boxes_listed_at: Mutex::default(),
+            first_listing_over: watch::Sender::new(false),
+            box_list_received: AtomicBool::new(false),
+            prefers_snapshots: AtomicBool::new(false),
             config_row: AtomicU64::new(0),
             config_row_in_force: AtomicU64::new(0),
             store_lost: AtomicBool::new(false),
@@ -215,85 +215,85 @@
         })
     }
 
-    /// Returns how long ago the node started.
+    /// Returns the time since the node started.
     pub fn age(&self) -> Duration {
         self.now().since(self.started)
     }
 
-    /// Returns the present moment.
+    /// Returns the current time of the node's clock.
     pub fn now(&self) -> Moment {
         self.ports.clock.now()
     }
 
-    /// Returns whether the node takes new connections.
+    /// Returns whether the node accepts new connections.
     pub fn is_ready(&self) -> bool {
-        let knows = self.knows_servers() && self.config.load().is_some();
-        knows && !self.is_stopping()
+        let is_informed = self.knows_servers() && self.config.load().is_some();
+        is_informed && !self.is_stopping()
     }
 
-    /// Notes that the servers are known.
+    /// Records that the server list is known.
     pub fn set_knows_servers(&self) {
         self.knows_servers.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether the servers are known.
+    /// Returns whether the server list is known.
     pub fn knows_servers(&self) -> bool {
         self.knows_servers.load(Ordering::Relaxed)
     }
 
-    /// Notes that the other boxes were listed, all that start together among them.
+    /// Records that all other boxes were listed, including those that start together with this one.
     pub fn set_boxes_listed(&self) {
-        self.nodes_listed_at.lock().get_or_insert(self.now());
+        self.boxes_listed_at.lock().get_or_insert(self.now());
     }
 
     /// Returns whether all other boxes were listed.
     pub fn are_boxes_listed(&self) -> bool {
-        self.nodes_listed_at.lock().is_some()
+        self.boxes_listed_at.lock().is_some()
     }
 
-    /// Notes that the first attempt to list the other boxes is over, whatever came of it.
+    /// Records that the first attempt to list the other boxes has finished, successfully or not.
     pub fn finish_first_listing(&self) {
-        self.first_list_over.send_replace(true);
+        self.first_listing_over.send_replace(true);
     }
 
-    /// Waits for the end of the first attempt to list the other boxes.
+    /// Waits until the first attempt to list the other boxes has finished.
     pub async fn first_listing_finished(&self) {
-        let mut over = self.first_list_over.subscribe();
+        let mut over = self.first_listing_over.subscribe();
         // The sender lives as long as this node, so the wait cannot fail.
-        let _ = over.wait_for(|over| *over).await;
+        let _ = over.wait_for(|is_over| *is_over).await;
     }
 
-    /// Notes that another box told of all.
+    /// Records that another box sent the full list of boxes.
     pub fn set_box_list_received(&self) {
-        self.told_of_boxes.store(true, Ordering::Relaxed);
+        self.box_list_received.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether another box told of all, this one among them.
+    /// Returns whether another box sent a full list of boxes that contains this one.
     pub fn has_received_box_list(&self) -> bool {
-        self.told_of_boxes.load(Ordering::Relaxed)
+        self.box_list_received.load(Ordering::Relaxed)
     }
 
-    /// Notes that others start with this box, or are so many that it takes from them what it lacks.
+    /// Makes this box wait for snapshots from its peers, because they start together with it or are many.
     pub fn set_prefers_snapshots(&self) {
-        self.is_one_of_many.store(true, Ordering::Relaxed);
+        self.prefers_snapshots.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether this box should have what it lacks from others, though they may not have it yet.
+    /// Returns whether this box waits for snapshots from its peers, which may not have them yet.
     pub fn prefers_snapshots(&self) -> bool {
-        self.is_one_of_many.load(Ordering::Relaxed)
+        self.prefers_snapshots.load(Ordering::Relaxed)
     }
 
-    /// Returns the newest row of the configuration that was looked at, put in force or refused.
+    /// Returns the newest configuration row that was examined, whether it was put in force or refused.
     pub fn config_row(&self) -> u64 {
         self.config_row.load(Ordering::Relaxed)
     }
 
-    /// Returns the row of the configuration in force. What is in force may be newer, never older.
+    /// Returns the row of the configuration in force. The configuration itself may be newer, but never older.
     pub fn config_row_in_force(&self) -> u64 {
         self.config_row_in_force.load(Ordering::Relaxed)
     }
 
-    /// Notes a row of the configuration, and whether it is in force.
+    /// Records an examined configuration row and whether it was put in force.
     pub fn record_config_row(&self, row: u64, in_force: bool) {
         self.config_row.fetch_max(row, Ordering::Relaxed);
         if in_force {
@@ -302,28 +302,28 @@
         }
     }
 
-    /// Returns whether the box can tell at `now` that the keys in force are good. Asked before the accounts are looked
-    /// at, since those that are put in force meanwhile are newer.
+    /// Returns whether the keys in force are known at `now` to be current. Call this before looking up accounts: those
+    /// that are put in force in between are only newer.
     pub fn has_current_keys(&self, now: Moment) -> bool {
         let terms = self.settings.load().promises.keys();
         terms.is_none_or(|terms| self.config_freshness.is_usable(terms, now))
     }
 
-    /// Returns whether the node has just started and does not know the others yet. What one node
-    /// does for all is not begun then, or every node of a deployment that starts would do it.
+    /// Returns whether the node has just started and does not know its peers yet. It leaves work for the whole
+    /// deployment alone until then; otherwise every node of a starting deployment would do it.
     pub fn is_discovering_peers(&self) -> bool {
         let now = self.now();
-        let listed_at = *self.nodes_listed_at.lock();
-        let is_listed = listed_at.is_some_and(|at| now.since(at) >= HEARD_AFTER);
-        now < *self.not_alone_until.lock() && !is_listed
+        let listed_at = *self.boxes_listed_at.lock();
+        let has_digests = listed_at.is_some_and(|at| now.since(at) >= FIRST_DIGEST_TIME);
+        now < *self.discovery_ends_at.lock() && !has_digests
     }
 
-    /// Notes that for so long it will not be known whether there are others.
+    /// Extends peer discovery, because the peers will not be listed for another `span`.
     pub fn extend_discovery(&self, span: Duration) {
-        *self.not_alone_until.lock() = self.now() + span + ALONE_FOR;
+        *self.discovery_ends_at.lock() = self.now() + span + PEER_DISCOVERY_TIME;
     }
 
-    /// Notes whether the platform's store last failed this node.
+    /// Records whether this node's last call to the platform's store failed.
     pub fn set_store_lost(&self, lost: bool) {
         self.store_lost.store(lost, Ordering::Relaxed);
         if lost {
@@ -331,57 +331,58 @@
         }
     }
 
-    /// Returns when the platform's store last failed this node.
+    /// Returns when a call to the platform's store last failed.
     pub fn store_failed_at(&self) -> Option<Moment> {
         *self.store_failed_at.lock()
     }
 
-    /// Returns whether the platform's store last failed this node.
+    /// Returns whether this node's last call to the platform's store failed.
     pub fn is_store_lost(&self) -> bool {
         self.store_lost.load(Ordering::Relaxed)
     }
 
-    /// Notes that an item is asked for that no engine holds, and has the holder of the lease told.
+    /// Records that an item was requested that no engine holds, and requests an early report to the order holder.
     pub fn add_missing_item(&self, item: &ModelRef) {
         self.missing_items.record(item);
         self.missing_item_added.notify_one();
         self.digest_requested.notify_one();
     }
 
-    /// Returns whether the node was told to stop.
+    /// Returns whether the node is stopping.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Begins to stop.
+    /// Starts stopping the node.
     pub fn set_stopping(&self) {
         self.stopping.store(true, Ordering::Relaxed);
-        // Requests that are held for something are refused now.
+        // Wakes held requests, which are refused from now on.
         self.servers_changed.notify_waiters();
     }
 
-    /// Returns whether a server takes new requests, by its row and by its own word.
+    /// Returns whether a server accepts new requests, according to its row and its notices.
     pub fn accepts_new(&self, server: &KnownServer) -> bool {
         server.is_ready() && self.notices.lock().leaving_since(&server.entry.id).is_none()
     }
 
-    /// Returns how long after this box learned that it drains a server may still be sent what no other answers.
+    /// Returns the time after this box learned of a drain during which the server may still be sent requests that no
+    /// other server can answer.
     pub fn drain_grace(&self) -> Duration {
-        self.settings.load().promises.drain().mul_f64(DRAIN_PART)
+        self.settings.load().promises.drain().mul_f64(DRAIN_GRACE_FRACTION)
     }
 
-    /// Returns how long after it may have begun to drain.
+    /// Returns the time after a server may have begun to drain from which it is sent nothing.
     pub fn drain_end(&self) -> Duration {
-        self.settings.load().promises.drain().mul_f64(DRAIN_END_PART)
+        self.settings.load().promises.drain().mul_f64(DRAIN_END_FRACTION)
     }
 
-    /// Notes whether a dependency is there.
-    pub fn set_dependency(&self, kind: &'static str, is_there: bool) {
-        self.metrics.dependencies.get_or_create(&KindLabel { kind }).set(i64::from(is_there));
+    /// Sets the metric that says whether a dependency is available.
+    pub fn set_dependency(&self, kind: &'static str, is_available: bool) {
+        self.metrics.dependencies.get_or_create(&KindLabel { kind }).set(i64::from(is_available));
     }
 }
 
-/// Names of 32 bits for servers and items, for messages between nodes.
+/// The 32-bit names of servers and items that messages between boxes use.
 #[derive(Debug, Default)]
 pub struct ShortNames {
     servers: HashMap<u32, BackendId>,
@@ -389,12 +390,12 @@
 }
 
 impl ShortNames {
-    /// Learns a server.
+    /// Adds a server.
     pub fn add_server(&mut self, id: &BackendId) {
         self.servers.insert(short_server(id), id.clone());
     }
 
-    /// Forgets a server that left.
+    /// Removes a server that left, unless another one has taken its short name.
     pub fn remove_server(&mut self, id: &BackendId) {
         let short = short_server(id);
         if self.servers.get(&short) == Some(id) {
@@ -402,13 +403,13 @@
         }
     }
 
-    /// Learns the items of a configuration.
+    /// Replaces the items by those of a configuration.
     pub fn set_items(&mut self, config: &ServingConfig) {
         let engines = config.services.values().filter_map(|service| service.engine.as_ref());
         let mut items = HashMap::new();
         for (name, model) in engines.flat_map(|engine| &engine.models) {
-            let plain = ModelRef { model: name.clone(), adapter: None };
-            items.insert(short_item(&plain), plain);
+            let base = ModelRef { model: name.clone(), adapter: None };
+            items.insert(short_item(&base), base);
             for adapter in &model.adapters {
                 let item = ModelRef { model: name.clone(), adapter: Some(adapter.clone()) };
                 items.insert(short_item(&item), item);
@@ -433,9 +434,9 @@
     short(id.as_str().as_bytes())
 }
 
-/// Returns a zone's short name.
-pub fn short_hall(zone: &HallName) -> u32 {
-    short(zone.as_str().as_bytes())
+/// Returns a hall's short name.
+pub fn short_hall(hall: &HallName) -> u32 {
+    short(hall.as_str().as_bytes())
 }
 
 /// Returns an item's short name.
