--- a/trackfrontd/src/serving/delegates.rs
+++ b/trackfrontd/src/serving/delegates.rs
@@ -1,11 +1,11 @@
 //! Which boxes speak for their hall.
 //!
-//! In a small hall each box speaks to each. In a large one the few that can bear most do it for the others: these
-//! tell them, and them alone, that they live, and hear from them of the rest. So what a box sends and hears does not
-//! grow with boxes, but for delegates, which hear their own hall.
+//! In a small hall each box sends digests to every other one. In a large hall only a few boxes of the highest capacity
+//! do; the others exchange digests with these delegates alone. So the traffic of a box does not grow with the fleet,
+//! except at delegates, which receive the digests of their own hall.
 //!
-//! Delegates are elected by nobody: all boxes walk the same list in the same order, and pass over those that should
-//! have spoken and did not. Where two boxes differ for a while there are more delegates than needed, never fewer.
+//! There is no election: every box walks the same sorted list and skips boxes that should have sent it digests but did
+//! not. While two boxes disagree there are more delegates than needed, never fewer.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,64 +13,68 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How many boxes a hall may have for each of them to speak to each: 64 datagrams in 0.4 s are some 8 KB a second.
-const SMALL_HALL: usize = 64;
+/// The most boxes in a hall where each sends digests to every other one: 64 datagrams in 0.4 s are some 8 KB/s.
+const SMALL_HALL_BOXES: usize = 64;
 
-/// How many boxes may be in all halls together for each to speak to each, to those of other halls less often: so many
-/// in three halls are some 64 datagrams a round.
-const SMALL_FLEET: usize = 128;
+/// The most boxes in a fleet where each sends digests to every other one, less often to those of other halls: with
+/// three halls, some 64 datagrams a round.
+const SMALL_FLEET_BOXES: usize = 128;
 
-/// How many boxes speak for a large hall: one reads for it, and two are ready to.
+/// The number of delegates of a large hall: one follows the feeds, two are ready to succeed it.
 const DELEGATES: usize = 3;
 
-/// What is lent to a box of strength 1: a tenth of a core, 10 megabits a second, 100 MB.
+/// The cores of a box of capacity class 0.
 const UNIT_CORES: f64 = 0.1;
+
+/// The link of a box of capacity class 0, in megabits a second.
 const UNIT_LINK_MBPS: f64 = 10.0;
+
+/// The memory of a box of capacity class 0, in megabytes.
 const UNIT_MEMORY_MB: f64 = 100.0;
 
-/// A box that goes first in what one box does for all.
-const STRONG: CapacityClass = CapacityClass(2);
+/// The lowest class of the boxes that go first where one box does work for all.
+const HIGH_CAPACITY: CapacityClass = CapacityClass(2);
 
-/// How much a box can bear, by the scarcest of what it has. Each step is twice the one before, so that boxes which
-/// differ little keep the order of their addresses.
+/// The capacity of a box by its scarcest resource. Each class is twice the one below, so that boxes that differ little
+/// stay in the order of their addresses.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct CapacityClass(u8);
 
 impl CapacityClass {
-    /// Judges a box by its share of a core, its link and its memory.
+    /// Returns the class of a box with these cores, link and memory.
     pub fn new(cores: f64, link_mbps: f64, memory_mb: f64) -> Self {
-        let parts = [cores / UNIT_CORES, link_mbps / UNIT_LINK_MBPS, memory_mb / UNIT_MEMORY_MB];
-        let scarcest = parts.into_iter().fold(f64::INFINITY, f64::min).max(1.0);
+        let ratios = [cores / UNIT_CORES, link_mbps / UNIT_LINK_MBPS, memory_mb / UNIT_MEMORY_MB];
+        let scarcest = ratios.into_iter().fold(f64::INFINITY, f64::min).max(1.0);
         Self(scarcest.log2() as u8)
     }
 
-    /// Returns how many times longer than a strong box one like this waits with what one box does for all.
+    /// Returns the factor by which a box of this class delays work that one box does for all.
     pub fn delay_factor(self) -> u32 {
-        if self >= STRONG { 1 } else { 2 }
+        if self >= HIGH_CAPACITY { 1 } else { 2 }
     }
 }
 
-/// A box as it is listed.
+/// A box in the list of boxes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedBox {
-    /// Its address.
+    /// The address of the box.
     pub ip: Ipv4Addr,
     /// The short name of its hall.
     pub hall: u32,
-    /// How much it can bear.
+    /// Its capacity.
     pub capacity: CapacityClass,
 }
 
 impl ListedBox {
-    /// The place in the order in which boxes do work for others.
+    /// Returns the sort key for the order in which boxes do work for others.
     pub fn priority_key(&self) -> (Reverse<CapacityClass>, Ipv4Addr) {
         (Reverse(self.capacity), self.ip)
     }
 }
 
-/// The boxes of each hall in the order in which they speak for it.
+/// The boxes of each hall, sorted by priority.
 #[derive(Clone, Debug, Default)]
 pub struct Halls {
     halls: BTreeMap<u32, Vec<ListedBox>>,
@@ -78,87 +82,88 @@
 }
 
 impl Halls {
-    /// Puts a box in its place; `before` is the place that it had.
-    pub fn insert(&mut self, one: ListedBox, before: Option<ListedBox>) {
-        if before == Some(one) {
+    /// Inserts a box in place of its `previous` entry.
+    pub fn insert(&mut self, listed: ListedBox, previous: Option<ListedBox>) {
+        if previous == Some(listed) {
             return;
         }
-        if let Some(before) = before {
-            self.remove(before);
+        if let Some(previous) = previous {
+            self.remove(previous);
         }
-        let boxes = self.halls.entry(one.hall).or_default();
-        if let Err(place) = boxes.binary_search_by_key(&one.priority_key(), ListedBox::priority_key)
-        {
-            boxes.insert(place, one);
+        let boxes = self.halls.entry(listed.hall).or_default();
+        let found = boxes.binary_search_by_key(&listed.priority_key(), ListedBox::priority_key);
+        if let Err(index) = found {
+            boxes.insert(index, listed);
             self.boxes += 1;
         }
     }
 
-    fn remove(&mut self, one: ListedBox) {
-        let Some(boxes) = self.halls.get_mut(&one.hall) else {
+    fn remove(&mut self, listed: ListedBox) {
+        let Some(boxes) = self.halls.get_mut(&listed.hall) else {
             return;
         };
-        if let Ok(place) = boxes.binary_search_by_key(&one.priority_key(), ListedBox::priority_key)
-        {
-            boxes.remove(place);
+        let found = boxes.binary_search_by_key(&listed.priority_key(), ListedBox::priority_key);
+        if let Ok(index) = found {
+            boxes.remove(index);
             self.boxes -= 1;
         }
         if boxes.is_empty() {
-            self.halls.remove(&one.hall);
+            self.halls.remove(&listed.hall);
         }
     }
 
-    /// Returns all boxes.
+    /// Returns the boxes of all halls.
     pub fn all(&self) -> impl Iterator<Item = ListedBox> {
         self.halls.values().flatten().copied()
     }
 
-    /// Returns the boxes of a hall, in order.
+    /// Returns the boxes of a hall, sorted by priority.
     pub fn boxes_in(&self, hall: u32) -> &[ListedBox] {
         self.halls.get(&hall).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the halls.
+    /// Returns the short names of the halls.
     pub fn ids(&self) -> impl Iterator<Item = u32> {
         self.halls.keys().copied()
     }
 
-    /// Returns whether each box of a hall speaks to each.
+    /// Returns whether all boxes of a hall send digests to each other.
     pub fn is_small(&self, hall: u32) -> bool {
-        self.boxes_in(hall).len() <= SMALL_HALL || self.is_small_fleet()
+        self.boxes_in(hall).len() <= SMALL_HALL_BOXES || self.is_small_fleet()
     }
 
-    /// Returns whether each box speaks to each of all halls.
+    /// Returns whether all boxes of all halls send digests to each other.
     pub fn is_small_fleet(&self) -> bool {
-        self.boxes <= SMALL_FLEET
+        self.boxes <= SMALL_FLEET_BOXES
     }
 
-    /// Returns the boxes that speak for a hall to its own: the first that are not `missing`.
+    /// Returns the boxes that send digests to all of their own hall: every present box of a small hall, the delegates
+    /// of a large one.
     pub fn local_delegates(
         &self,
         hall: u32,
-        missing: impl Fn(Ipv4Addr) -> bool,
+        is_missing: impl Fn(Ipv4Addr) -> bool,
     ) -> impl Iterator<Item = Ipv4Addr> {
         let count = if self.is_small(hall) { usize::MAX } else { DELEGATES };
-        self.first(hall, count, missing)
+        self.first_present(hall, count, is_missing)
     }
 
-    /// Returns the boxes that speak for a hall to other halls.
+    /// Returns the boxes that speak for a hall to other halls: its first ones that are not missing.
     pub fn delegates(
         &self,
         hall: u32,
-        missing: impl Fn(Ipv4Addr) -> bool,
+        is_missing: impl Fn(Ipv4Addr) -> bool,
     ) -> impl Iterator<Item = Ipv4Addr> {
-        self.first(hall, DELEGATES, missing)
+        self.first_present(hall, DELEGATES, is_missing)
     }
 
-    fn first(
+    fn first_present(
         &self,
         hall: u32,
         count: usize,
-        missing: impl Fn(Ipv4Addr) -> bool,
+        is_missing: impl Fn(Ipv4Addr) -> bool,
     ) -> impl Iterator<Item = Ipv4Addr> {
-        let boxes = self.boxes_in(hall).iter().map(|one| one.ip);
-        boxes.filter(move |ip| !missing(*ip)).take(count)
+        let boxes = self.boxes_in(hall).iter().map(|listed| listed.ip);
+        boxes.filter(move |ip| !is_missing(*ip)).take(count)
     }
 }
--- a/trackfrontd/src/serving/mod.rs
+++ b/trackfrontd/src/serving/mod.rs
@@ -1,15 +1,19 @@
 //! A serving node: the request pipeline and placement behind a deployment's own interfaces.
 //!
-//! [`node`] holds what the box knows; [`follow`] keeps it up to date from the platform,
-//! [`gossip`], [`feed_relay`] and [`exchange`] from other boxes, which [`boxes`] lists; [`delegates`] says who
-//! speaks for a hall and [`peer_tracker`] who is alive; [`cold`] keeps what is sent to cold servers bounded, [`notices`] hears
-//! what servers say of themselves and [`permits`] keeps the limits that they name; [`config_freshness`] tells
-//! how new the configuration is; [`quota`] keeps the limits of client accounts with other boxes, and
-//! [`crashes`] holds off requests that crash servers; [`pipeline`] and [`response_relay`] answer requests,
-//! [`listeners`] takes them; [`lease`], [`placement`] and [`order_task`] give orders to engines;
-//! [`run`] wires it all.
-//! This folder depends on the decisions in `trackfront_core::serving` and on the traits in
-//! `trackfront_adapters::interface`; it knows no names or formats of any deployment.
+//! - [`node`] holds the shared state. [`follow`] updates it from the platform's feeds; [`gossip`], [`feed_relay`]
+//!   and [`exchange`] update it from other boxes.
+//! - [`boxes`] lists the boxes, [`delegates`] picks those that speak for a hall, and [`peer_tracker`] tracks which
+//!   are alive.
+//! - [`listeners`] accepts connections; [`pipeline`] and [`response_relay`] answer requests.
+//! - [`cold`] bounds the load on cold servers, [`notices`] collects the notices of servers, and [`permits`] enforces
+//!   the limits that servers name.
+//! - [`config_freshness`] tracks whether the configuration is the newest, [`quota`] enforces the limits of client
+//!   accounts together with other boxes, and [`crashes`] quarantines requests that crash servers.
+//! - [`lease`], [`placement`] and [`order_task`] send orders to engines.
+//! - [`run`] starts and stops all of it.
+//!
+//! This module builds on the decisions in `trackfront_core::serving` and the traits in
+//! `trackfront_adapters::interface`; it contains no names or formats of a particular deployment.
 
 pub mod boxes;
 mod cold;
