--- a/trackfrontd/src/serving/peer_tracker.rs
+++ b/trackfrontd/src/serving/peer_tracker.rs
@@ -1,4 +1,4 @@
-//! The other boxes: which there are, which are alive, and what they last said of themselves.
+//! Tracks the other boxes: which exist, which are alive, and what their last digests said.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -13,244 +13,245 @@
 use super::messages::{Digest, HolderReport};
 use super::order_holder::KnownHolder;
 
-/// Every how many rounds boxes of other halls are told at the least, where there are many: bytes between halls are
-/// dear.
-const OTHER_HALLS_EVERY: usize = 4;
+/// The longest interval, in rounds, between digests to a box of another hall in a small fleet. Traffic between halls is
+/// expensive.
+const MAX_OTHER_HALL_ROUNDS: usize = 4;
 
-/// For how many peers boxes of other halls are told one round less often.
-const PEERS_FOR_EACH_ROUND: usize = 10;
+/// The number of peers for which the interval between digests to other halls grows by one round.
+const PEERS_PER_OTHER_HALL_ROUND: usize = 10;
 
-/// Every how many rounds a box that was not heard of for long is told.
-const LOST_EVERY: u64 = 16;
+/// The interval, in rounds, between digests to a box that has been silent for long.
+const SILENT_PEER_ROUNDS: u64 = 16;
 
-/// The least time between two digests.
+/// The shortest interval between two digests.
 pub const MIN_DIGEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How much longer the time between digests is for each box that is told, so that what a box receives stays bounded.
-const GAP_FOR_EACH_TOLD: Duration = Duration::from_millis(6);
+/// The digest interval for each recipient, which bounds the rate of digests that a box receives.
+const INTERVAL_PER_TARGET: Duration = Duration::from_millis(6);
 
-/// The time between digests of a box that speaks for a large hall.
-const SPEAKER_GAP: Duration = Duration::from_millis(400);
+/// The interval between digests of a delegate of a large hall.
+const DELEGATE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How much longer the time between digests of the other boxes of a large hall is for each box there: a speaker hears
-/// 400 a second of them, however many there are.
-const GAP_FOR_EACH_MATE: Duration = Duration::from_micros(2_500);
+/// The digest interval of the other boxes of a large hall, for each box there: a delegate receives 400 of their digests
+/// a second, whatever the size of the hall.
+const INTERVAL_PER_HALL_BOX: Duration = Duration::from_micros(2_500);
 
-/// How long a box counts as alive after it was heard, where it speaks more often than that.
+/// The time after its last digest for which a box counts as alive. Boxes send digests more often than that.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long a box that is not heard of counts among those that share budgets.
-const COUNTED_FOR: Duration = Duration::from_secs(120);
+/// The time for which a silent box still counts among those that share budgets.
+const BUDGET_SHARE_TIME: Duration = Duration::from_secs(120);
 
-/// How long a box that was never heard is still told of us.
-const TRIED_FOR: Duration = Duration::from_secs(10);
+/// The time after its last digest, or after it was listed, for which a silent box is still sent messages as usual.
+const REACHABLE_TIME: Duration = Duration::from_secs(10);
 
-/// Another box.
+/// The state of another box.
 #[derive(Clone, Debug)]
 struct Peer {
-    listed: Moment,
-    heard: Option<Moment>,
-    place: ListedBox,
+    listed_at: Moment,
+    last_digest_at: Option<Moment>,
+    listing: ListedBox,
     store_lost: bool,
-    word: Option<LeaseAnnouncement>,
-    /// Since when it should speak to this box, as far as that was found out before it was heard.
-    expected: Option<Moment>,
-    /// Whether it should have spoken to this box and did not.
+    announcement: Option<LeaseAnnouncement>,
+    /// Since when the box should send digests to this one, if that began before its first digest arrived.
+    expected_since: Option<Moment>,
+    /// Whether the box should have sent digests to this one but did not.
     is_missing: bool,
 }
 
 impl Peer {
-    fn new(place: ListedBox, listed: Moment) -> Self {
+    fn new(listing: ListedBox, listed_at: Moment) -> Self {
         Self {
-            listed,
-            heard: None,
-            place,
+            listed_at,
+            last_digest_at: None,
+            listing,
             store_lost: false,
-            word: None,
-            expected: None,
+            announcement: None,
+            expected_since: None,
             is_missing: false,
         }
     }
 
-    fn last_sign(&self) -> Moment {
-        self.heard.unwrap_or(self.listed)
+    fn last_seen_at(&self) -> Moment {
+        self.last_digest_at.unwrap_or(self.listed_at)
     }
 
     fn is_alive(&self, now: Moment) -> bool {
-        self.heard.is_some_and(|heard| now.since(heard) < PEER_TIMEOUT)
+        self.last_digest_at.is_some_and(|at| now.since(at) < PEER_TIMEOUT)
     }
 }
 
-/// Which boxes speak to this one.
+/// Which boxes send digests to this one.
 #[derive(Clone, Copy)]
-struct Sight {
-    hears_all: bool,
-    hears_hall: bool,
+struct DigestSources {
+    is_whole_fleet: bool,
+    is_whole_hall: bool,
     hall: u32,
 }
 
-impl Sight {
+impl DigestSources {
     fn is_reachable(self, peer: &Peer, now: Moment) -> bool {
-        match self.hears_all || (self.hears_hall && peer.place.hall == self.hall) {
-            true => now.since(peer.last_sign()) < TRIED_FOR,
+        match self.is_whole_fleet || (self.is_whole_hall && peer.listing.hall == self.hall) {
+            true => now.since(peer.last_seen_at()) < REACHABLE_TIME,
             false => !peer.is_missing,
         }
     }
 }
 
-/// The boxes of this box's hall.
+/// The boxes of this box's hall, and its position in the succession of feed readers.
 #[derive(Clone, Debug, Default)]
 pub struct HallPeers {
-    /// The others that are told what this box reads for them.
+    /// The other boxes, which receive what this one reads for the hall.
     pub others: Vec<Ipv4Addr>,
-    /// How many go before this box in reading for the hall.
+    /// The number of boxes that precede this one as the hall's feed reader.
     pub rank: usize,
-    /// The box that reads, if it is not this one.
+    /// The hall's feed reader, if that is another box.
     pub reader: Option<Ipv4Addr>,
 }
 
 impl HallPeers {
-    /// Returns whether this box reads for the hall.
+    /// Returns whether this box is the feed reader of its hall.
     pub fn is_reader(&self) -> bool {
         self.rank == 0
     }
 }
 
-/// Whom a box tells what all boxes are to know.
+/// The recipients of a message that has to reach all boxes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BroadcastTargets {
-    /// Boxes that are told themselves.
+    /// Boxes that only receive the message.
     pub direct: Vec<Ipv4Addr>,
-    /// Boxes that hand it on to their part of their hall.
+    /// Boxes that also forward it to their part of their hall.
     pub forwarders: Vec<Ipv4Addr>,
 }
 
-/// The other boxes.
+/// Tracks the other boxes.
 #[derive(Debug)]
 pub struct PeerTracker {
     me: ListedBox,
     peers: BTreeMap<Ipv4Addr, Peer>,
     halls: Halls,
-    /// When it was last looked who speaks for which hall.
-    elected_at: Moment,
-    giver: KnownHolder,
+    /// When [`Self::update_missing`] last ran.
+    missing_updated_at: Moment,
+    holder: KnownHolder,
 }
 
 impl PeerTracker {
-    /// Makes the book of a box that knows no other.
+    /// Creates the tracker of a box that knows no other.
     pub fn new(me: ListedBox) -> Self {
         let mut halls = Halls::default();
         halls.insert(me, None);
-        let (peers, elected_at) = (BTreeMap::new(), Moment::default());
-        Self { me, peers, halls, elected_at, giver: KnownHolder::default() }
+        let (peers, missing_updated_at) = (BTreeMap::new(), Moment::default());
+        Self { me, peers, halls, missing_updated_at, holder: KnownHolder::default() }
     }
 
-    /// Learns of a box from a list. What a box says of itself goes before that.
-    pub fn add_listed(&mut self, place: ListedBox, now: Moment) {
-        let is_heard = self.peers.get(&place.ip).is_some_and(|peer| peer.heard.is_some());
-        if place.ip != self.me.ip && !is_heard {
-            self.put(place, now);
+    /// Adds a box from a list of boxes, unless its own digests are known.
+    pub fn add_listed(&mut self, listing: ListedBox, now: Moment) {
+        let has_digest =
+            self.peers.get(&listing.ip).is_some_and(|peer| peer.last_digest_at.is_some());
+        if listing.ip != self.me.ip && !has_digest {
+            self.upsert(listing, now);
         }
     }
 
-    fn put(&mut self, place: ListedBox, now: Moment) -> &mut Peer {
-        let before = self.peers.get(&place.ip).map(|peer| peer.place);
-        self.halls.insert(place, before);
-        let peer = self.peers.entry(place.ip).or_insert(Peer::new(place, now));
-        peer.place = place;
+    fn upsert(&mut self, listing: ListedBox, now: Moment) -> &mut Peer {
+        let previous = self.peers.get(&listing.ip).map(|peer| peer.listing);
+        self.halls.insert(listing, previous);
+        let peer = self.peers.entry(listing.ip).or_insert(Peer::new(listing, now));
+        peer.listing = listing;
         peer
     }
 
-    /// Returns the boxes that are alive or were listed just now: those of this hall first, and of these the ones that
-    /// were heard. Of many boxes that start again together the others may have nothing to hand out yet.
+    /// Returns the reachable boxes, those of this hall first, and among these first the ones that have sent digests.
+    /// When many boxes restart together, the silent ones may have no snapshots yet.
     pub fn likely_up(&self, now: Moment) -> Vec<Ipv4Addr> {
-        let place = |ip: &Ipv4Addr| {
+        let sort_key = |ip: &Ipv4Addr| {
             let peer = self.peers.get(ip);
-            let is_mate = peer.is_some_and(|peer| peer.place.hall == self.me.hall);
-            (!is_mate, peer.is_none_or(|peer| peer.heard.is_none()))
+            let is_in_hall = peer.is_some_and(|peer| peer.listing.hall == self.me.hall);
+            (!is_in_hall, peer.is_none_or(|peer| peer.last_digest_at.is_none()))
         };
         let mut boxes = self.reachable(now);
-        boxes.sort_by_key(place);
+        boxes.sort_by_key(sort_key);
         boxes
     }
 
-    /// Learns that a box is alive.
+    /// Records a digest of another box.
     pub fn record_digest(&mut self, ip: Ipv4Addr, digest: &Digest, now: Moment) {
-        let peer = self.put(ListedBox { ip, hall: digest.hall, capacity: digest.capacity }, now);
-        peer.heard = Some(now);
+        let peer = self.upsert(ListedBox { ip, hall: digest.hall, capacity: digest.capacity }, now);
+        peer.last_digest_at = Some(now);
         peer.is_missing = false;
         peer.store_lost = digest.store_lost;
-        peer.word = digest.lease.map(|right| right.announcement(now)).or(peer.word);
-        self.giver.receive(ip, digest.holds_order_lease, now);
-        if let Some(told) = &digest.holder {
-            self.giver.apply_report(told, self.me.ip, now);
+        peer.announcement = digest.lease.map(|lease| lease.announcement(now)).or(peer.announcement);
+        self.holder.receive(ip, digest.holds_order_lease, now);
+        if let Some(report) = &digest.holder {
+            self.holder.apply_report(report, self.me.ip, now);
         }
     }
 
-    /// Returns what this box tells others of who gives orders.
+    /// Returns the report on the order holder that this box sends to others.
     pub fn holder_report(&self, now: Moment) -> Option<HolderReport> {
-        self.giver.report(|ip| self.peers.get(&ip)?.word, now)
+        self.holder.report(|ip| self.peers.get(&ip)?.announcement, now)
     }
 
-    /// Looks anew who speaks for which hall. To be called once in a round, before the others are told.
+    /// Updates which boxes are missing. Call this once per round, before picking the recipients of a digest.
     pub fn update_missing(&mut self, now: Moment) {
-        let was_away = now.since(self.elected_at) >= PEER_TIMEOUT;
-        self.elected_at = now;
-        if was_away {
-            // This box stood still, so that it heard nobody says nothing of the others.
-            self.peers.values_mut().for_each(|peer| peer.expected = None);
+        let was_paused = now.since(self.missing_updated_at) >= PEER_TIMEOUT;
+        self.missing_updated_at = now;
+        if was_paused {
+            // This process stood still, so the lack of digests says nothing about the other boxes.
+            self.peers.values_mut().for_each(|peer| peer.expected_since = None);
         }
-        self.forgive();
-        for ip in self.expected() {
+        self.reset_unexpected();
+        for ip in self.expected_senders() {
             let Some(peer) = self.peers.get_mut(&ip) else {
                 continue;
             };
-            let expected = *peer.expected.get_or_insert(now);
-            let since = peer.last_sign().max(expected);
-            peer.is_missing = now.since(since) >= PEER_TIMEOUT;
+            let expected_since = *peer.expected_since.get_or_insert(now);
+            let silent_since = peer.last_seen_at().max(expected_since);
+            peer.is_missing = now.since(silent_since) >= PEER_TIMEOUT;
         }
     }
 
-    /// Takes boxes no longer for missing that would not speak to this one if they lived, so that it could never learn that
-    /// they do.
-    fn forgive(&mut self) {
-        let would_speak: BTreeSet<Ipv4Addr> =
-            self.halls_that_speak().flat_map(|hall| self.would_speak(hall)).copied().collect();
+    /// Marks boxes as present that would not send digests to this one even if alive: it could never learn of their
+    /// return.
+    fn reset_unexpected(&mut self) {
+        let possible_senders: BTreeSet<Ipv4Addr> =
+            self.sending_halls().flat_map(|hall| self.possible_delegates(hall)).copied().collect();
         for (ip, peer) in &mut self.peers {
-            if !would_speak.contains(ip) {
-                (peer.expected, peer.is_missing) = (None, false);
+            if !possible_senders.contains(ip) {
+                (peer.expected_since, peer.is_missing) = (None, false);
             }
         }
     }
 
-    /// Returns the boxes that should speak to this one since they speak for their hall.
-    fn expected(&self) -> Vec<Ipv4Addr> {
-        self.halls_that_speak().flat_map(|hall| self.delegates(hall)).collect()
+    /// Returns the delegates that should send digests to this box.
+    fn expected_senders(&self) -> Vec<Ipv4Addr> {
+        self.sending_halls().flat_map(|hall| self.delegates(hall)).collect()
     }
 
-    /// Returns the halls whose delegates speak to this box: its own, and the others if it is one of them.
-    fn halls_that_speak(&self) -> impl Iterator<Item = u32> {
-        let (own, speaks) = (self.me.hall, self.is_delegate());
+    /// Returns the halls whose delegates send digests to this box: its own, and all others if it is a delegate.
+    fn sending_halls(&self) -> impl Iterator<Item = u32> {
+        let (own, is_delegate) = (self.me.hall, self.is_delegate());
         let is_large = !self.halls.is_small_fleet();
-        self.halls.ids().filter(move |hall| is_large && (speaks || *hall == own))
+        self.halls.ids().filter(move |hall| is_large && (is_delegate || *hall == own))
     }
 
-    /// Returns the delegates of a hall and those that would be in their place if they lived.
-    fn would_speak(&self, hall: u32) -> impl Iterator<Item = &Ipv4Addr> {
+    /// Returns the delegates of a hall and the boxes that would replace them if alive.
+    fn possible_delegates(&self, hall: u32) -> impl Iterator<Item = &Ipv4Addr> {
         let boxes = self.halls.boxes_in(hall);
         let last = self.delegates(hall).last().copied();
-        let place = boxes.iter().position(|one| Some(one.ip) == last);
-        // Of a hall that is missing as a whole the first box that comes back would.
-        let count = place.map_or(boxes.len(), |last| last + 1);
-        boxes[..count].iter().map(|one| &one.ip)
+        let last_index = boxes.iter().position(|listed| Some(listed.ip) == last);
+        // If all of the hall is missing, the first box that returns becomes its delegate.
+        let count = last_index.map_or(boxes.len(), |index| index + 1);
+        boxes[..count].iter().map(|listed| &listed.ip)
     }
 
     fn is_missing(&self, ip: Ipv4Addr) -> bool {
         self.peers.get(&ip).is_some_and(|peer| peer.is_missing)
     }
 
-    /// Returns the boxes that speak to those of this hall.
-    fn speakers(&self) -> Vec<Ipv4Addr> {
+    /// Returns the boxes that send digests to all of this hall.
+    fn local_delegates(&self) -> Vec<Ipv4Addr> {
         self.halls.local_delegates(self.me.hall, |ip| self.is_missing(ip)).collect()
     }
 
@@ -258,224 +259,221 @@
         self.halls.delegates(hall, |ip| self.is_missing(ip)).collect()
     }
 
-    /// Returns whether this box speaks to all of its hall.
+    /// Returns whether this box sends digests to all of its hall.
     pub fn is_local_delegate(&self) -> bool {
-        self.halls.is_small(self.me.hall) || self.speakers().contains(&self.me.ip)
+        self.halls.is_small(self.me.hall) || self.local_delegates().contains(&self.me.ip)
     }
 
-    /// Returns one of the boxes that speak for a large hall, to spread what all of it asks them; none of a small one.
+    /// Returns a random delegate of this hall if the hall is large, to spread the requests of its boxes.
     pub fn random_local_delegate(&self, rng: &mut impl Rng) -> Option<Ipv4Addr> {
         let is_small = self.halls.is_small(self.me.hall);
-        let mut speakers = if is_small { Vec::new() } else { self.speakers() };
-        speakers.retain(|ip| *ip != self.me.ip);
-        speakers.choose(rng).copied()
+        let mut delegates = if is_small { Vec::new() } else { self.local_delegates() };
+        delegates.retain(|ip| *ip != self.me.ip);
+        delegates.choose(rng).copied()
     }
 
-    /// Returns whether this box speaks for its hall to others.
+    /// Returns whether this box speaks for its hall to other halls.
     fn is_delegate(&self) -> bool {
         self.delegates(self.me.hall).contains(&self.me.ip)
     }
 
-    /// Returns the boxes that are told in a round.
+    /// Returns the recipients of this box's digest in a round.
     pub fn digest_targets(&self, round: u64, now: Moment) -> Vec<Ipv4Addr> {
         if self.halls.is_small_fleet() {
-            return self.told_by_turns(round, now, |_| true);
+            return self.due_peers(round, now, |_| true);
         }
         let own = self.me.hall;
-        let mut told = match self.halls.is_small(own) {
-            true => self.told_by_turns(round, now, |peer| peer.place.hall == own),
-            false if self.is_local_delegate() => self.mates_and_some_lost(round, now),
-            false => self.speakers(),
+        let mut targets = match self.halls.is_small(own) {
+            true => self.due_peers(round, now, |peer| peer.listing.hall == own),
+            false if self.is_local_delegate() => self.due_in_hall(round, now),
+            false => self.local_delegates(),
         };
         if self.is_delegate() {
             let others = self.halls.ids().filter(|hall| *hall != own);
-            told.extend(others.flat_map(|hall| self.delegates(hall)));
+            targets.extend(others.flat_map(|hall| self.delegates(hall)));
         }
-        let retried = self.missing_in_turn(round).filter(|ip| !told.contains(ip));
-        told.extend(retried);
-        told.retain(|ip| *ip != self.me.ip);
-        told
+        let retried = self.missing_to_retry(round).filter(|ip| !targets.contains(ip));
+        targets.extend(retried);
+        targets.retain(|ip| *ip != self.me.ip);
+        targets
     }
 
-    /// Returns the other boxes of this hall, in each round some of those that were not heard of for long.
-    fn mates_and_some_lost(&self, round: u64, now: Moment) -> Vec<Ipv4Addr> {
-        let sight = self.sight();
+    /// Returns the reachable boxes of this hall, and in each round some of the unreachable ones.
+    fn due_in_hall(&self, round: u64, now: Moment) -> Vec<Ipv4Addr> {
+        let sources = self.digest_sources();
         let is_due = |ip: &Ipv4Addr, peer: &Peer| {
-            let turn = round + u64::from(ip.to_bits());
-            sight.is_reachable(peer, now) || turn.is_multiple_of(LOST_EVERY)
+            let offset_round = round + u64::from(ip.to_bits());
+            sources.is_reachable(peer, now) || offset_round.is_multiple_of(SILENT_PEER_ROUNDS)
         };
-        let mates = self.halls.boxes_in(self.me.hall).iter().map(|one| one.ip);
-        mates.filter(|ip| self.peers.get(ip).is_some_and(|peer| is_due(ip, peer))).collect()
+        let hall_peers = self.halls.boxes_in(self.me.hall).iter().map(|listed| listed.ip);
+        hall_peers.filter(|ip| self.peers.get(ip).is_some_and(|peer| is_due(ip, peer))).collect()
     }
 
-    /// Returns one of the boxes that should have spoken and did not, each in its turn: the two may have been cut off
-    /// from each other, and both wait to be told.
-    fn missing_in_turn(&self, round: u64) -> Option<Ipv4Addr> {
+    /// Returns one missing box, a different one each round. If the two were only cut off from each other, each of them
+    /// waits for a digest of the other.
+    fn missing_to_retry(&self, round: u64) -> Option<Ipv4Addr> {
         let missing = || self.peers.iter().filter(|(_, peer)| peer.is_missing).map(|(ip, _)| *ip);
         let count = missing().count().max(1) as u64;
         missing().nth((round % count) as usize)
     }
 
-    /// Returns the boxes among `which` that are told in a round where each speaks to each: those of the own hall each
-    /// time, others less often, and those that were not heard of for long seldom.
-    fn told_by_turns(
-        &self,
-        round: u64,
-        now: Moment,
-        which: impl Fn(&Peer) -> bool,
-    ) -> Vec<Ipv4Addr> {
-        let others_every = (self.peers.len() / PEERS_FOR_EACH_ROUND).clamp(1, OTHER_HALLS_EVERY);
-        let every = |peer: &Peer| match now.since(peer.last_sign()) < TRIED_FOR {
-            true if peer.place.hall == self.me.hall || peer.heard.is_none() => 1,
-            true => others_every as u64,
-            false => LOST_EVERY,
+    /// Returns the boxes that match `filter` and are due for a digest where all send digests to each other: boxes of
+    /// this hall in each round, those of other halls less often, and silent ones rarely.
+    fn due_peers(&self, round: u64, now: Moment, filter: impl Fn(&Peer) -> bool) -> Vec<Ipv4Addr> {
+        let other_hall_rounds =
+            (self.peers.len() / PEERS_PER_OTHER_HALL_ROUND).clamp(1, MAX_OTHER_HALL_ROUNDS);
+        let interval = |peer: &Peer| match now.since(peer.last_seen_at()) < REACHABLE_TIME {
+            true if peer.listing.hall == self.me.hall || peer.last_digest_at.is_none() => 1,
+            true => other_hall_rounds as u64,
+            false => SILENT_PEER_ROUNDS,
         };
         let is_due = |ip: &Ipv4Addr, peer: &Peer| {
-            which(peer) && (round + u64::from(ip.to_bits())).is_multiple_of(every(peer))
+            filter(peer) && (round + u64::from(ip.to_bits())).is_multiple_of(interval(peer))
         };
         let due = self.peers.iter().filter(|(ip, peer)| is_due(ip, peer));
         due.map(|(ip, _)| *ip).collect()
     }
 
-    /// Returns the time until the next round, after one in which so many were told.
-    pub fn digest_interval(&self, told: usize) -> Duration {
-        let own = self.halls.boxes_in(self.me.hall).len() as u32;
+    /// Returns the time until the next round, after one with `targets` recipients.
+    pub fn digest_interval(&self, targets: usize) -> Duration {
+        let hall_boxes = self.halls.boxes_in(self.me.hall).len() as u32;
         match (self.halls.is_small(self.me.hall), self.is_local_delegate()) {
-            (true, _) => MIN_DIGEST_INTERVAL.max(GAP_FOR_EACH_TOLD * told as u32),
-            (false, true) => SPEAKER_GAP,
-            (false, false) => SPEAKER_GAP.max(GAP_FOR_EACH_MATE * own),
+            (true, _) => MIN_DIGEST_INTERVAL.max(INTERVAL_PER_TARGET * targets as u32),
+            (false, true) => DELEGATE_INTERVAL,
+            (false, false) => DELEGATE_INTERVAL.max(INTERVAL_PER_HALL_BOX * hall_boxes),
         }
     }
 
-    /// Returns the boxes that the giver tells at once what it did: those that pass it on, where there are many.
+    /// Returns the recipients of an early digest of the order holder: all reachable boxes of a small fleet; in a large
+    /// one its own hall and the delegates of the others, which forward the overlay entries.
     pub fn urgent_targets(&self, now: Moment) -> Vec<Ipv4Addr> {
         if self.halls.is_small_fleet() {
             return self.reachable(now);
         }
-        let mut told = self.reachable_in_hall(now);
+        let mut targets = self.reachable_in_hall(now);
         let others = self.halls.ids().filter(|hall| *hall != self.me.hall);
-        told.extend(others.flat_map(|hall| self.delegates(hall)));
-        told
+        targets.extend(others.flat_map(|hall| self.delegates(hall)));
+        targets
     }
 
-    /// Returns whether this box passes on to its hall what it hears from `ip`, so that it need not be told to all: it
-    /// is the first that speaks for the hall.
+    /// Returns whether this box forwards overlay entries from `ip` to its hall, as the hall's first delegate.
     pub fn forwards_from(&self, ip: Ipv4Addr) -> bool {
-        let from = self.peers.get(&ip).map(|peer| peer.place.hall);
+        let sender_hall = self.peers.get(&ip).map(|peer| peer.listing.hall);
         let is_first = self.delegates(self.me.hall).first() == Some(&self.me.ip);
-        !self.halls.is_small_fleet() && is_first && from != Some(self.me.hall)
+        !self.halls.is_small_fleet() && is_first && sender_hall != Some(self.me.hall)
     }
 
-    /// Returns the other boxes of this hall, but for those that are lost for all that this box knows.
+    /// Returns the reachable other boxes of this hall.
     pub fn reachable_in_hall(&self, now: Moment) -> Vec<Ipv4Addr> {
-        let sight = self.sight();
-        let mates = self.halls.boxes_in(self.me.hall).iter().map(|one| one.ip);
+        let sources = self.digest_sources();
+        let hall_peers = self.halls.boxes_in(self.me.hall).iter().map(|listed| listed.ip);
         let is_reachable =
-            |ip: &Ipv4Addr| self.peers.get(ip).is_some_and(|peer| sight.is_reachable(peer, now));
-        mates.filter(is_reachable).collect()
+            |ip: &Ipv4Addr| self.peers.get(ip).is_some_and(|peer| sources.is_reachable(peer, now));
+        hall_peers.filter(is_reachable).collect()
     }
 
-    /// Returns the boxes of this hall as this one sees them. They read in the order of what they can bear, those that
-    /// the platform's store fails after the others; boxes that speak for a large hall go before the rest.
+    /// Returns this box's view of its hall. Boxes become feed reader in order of priority, those that cannot reach the
+    /// platform's store last; in a large hall the delegates precede the rest.
     pub fn hall_peers(&self, is_store_lost: bool, now: Moment) -> HallPeers {
         let is_small = self.halls.is_small(self.me.hall);
-        let alive = |ip: &Ipv4Addr| self.peers.get(ip).is_some_and(|peer| peer.is_alive(now));
+        let is_alive = |ip: &Ipv4Addr| self.peers.get(ip).is_some_and(|peer| peer.is_alive(now));
         let others = if is_small {
-            self.reachable_in_hall(now).into_iter().filter(alive).collect()
+            self.reachable_in_hall(now).into_iter().filter(is_alive).collect()
         } else {
             self.reachable_in_hall(now)
         };
-        let me = (is_store_lost, self.me.priority_key());
-        let place = |one: &ListedBox| {
-            let store_lost = self.peers.get(&one.ip).is_some_and(|peer| peer.store_lost);
-            (store_lost, one.priority_key())
+        let own_key = (is_store_lost, self.me.priority_key());
+        let sort_key = |listed: &ListedBox| {
+            let store_lost = self.peers.get(&listed.ip).is_some_and(|peer| peer.store_lost);
+            (store_lost, listed.priority_key())
         };
         let boxes = self.halls.boxes_in(self.me.hall).iter();
-        let mut alive: Vec<&ListedBox> = boxes.filter(|one| alive(&one.ip)).collect();
-        alive.sort_by_key(|one| place(one));
+        let mut alive: Vec<&ListedBox> = boxes.filter(|listed| is_alive(&listed.ip)).collect();
+        alive.sort_by_key(|listed| sort_key(listed));
         if self.is_local_delegate() {
-            let speakers = self.speakers();
-            alive.retain(|one| is_small || speakers.contains(&one.ip));
-            let rank = alive.iter().filter(|one| place(one) < me).count();
-            let reader = alive.first().filter(|_| rank > 0).map(|one| one.ip);
+            let delegates = self.local_delegates();
+            alive.retain(|listed| is_small || delegates.contains(&listed.ip));
+            let rank = alive.iter().filter(|listed| sort_key(listed) < own_key).count();
+            let reader = alive.first().filter(|_| rank > 0).map(|listed| listed.ip);
             return HallPeers { others, rank, reader };
         }
-        // All that speak go first, alive or not yet found missing; of the rest each knows its place.
-        let speakers = self.speakers();
-        let reader = alive.iter().find(|one| speakers.contains(&one.ip)).map(|one| one.ip);
-        let before = self.halls.boxes_in(self.me.hall).iter().filter(|one| {
-            one.priority_key() < self.me.priority_key()
-                && !speakers.contains(&one.ip)
-                && !self.is_missing(one.ip)
+        // All delegates come first, whether alive or not yet found missing. The rest follow in order of priority.
+        let delegates = self.local_delegates();
+        let reader =
+            alive.iter().find(|listed| delegates.contains(&listed.ip)).map(|listed| listed.ip);
+        let preceding = self.halls.boxes_in(self.me.hall).iter().filter(|listed| {
+            listed.priority_key() < self.me.priority_key()
+                && !delegates.contains(&listed.ip)
+                && !self.is_missing(listed.ip)
         });
-        let rank = speakers.len() + before.count();
+        let rank = delegates.len() + preceding.count();
         HallPeers { others, rank, reader }
     }
 
-    /// Returns how many boxes go before this one in taking the lease on orders: those that are alive, of a large
-    /// fleet only those that speak for a hall.
+    /// Returns the number of live boxes that precede this one in taking the order lease; in a large fleet the
+    /// delegates of all halls come first.
     pub fn lease_rank(&self, now: Moment) -> usize {
-        let is_before =
-            |peer: &&Peer| peer.is_alive(now) && peer.place.priority_key() < self.me.priority_key();
-        let alive = self.peers.values().filter(is_before).count();
+        let precedes = |peer: &&Peer| {
+            peer.is_alive(now) && peer.listing.priority_key() < self.me.priority_key()
+        };
+        let preceding = self.peers.values().filter(precedes).count();
         match self.halls.is_small_fleet() || self.is_delegate() {
-            true => alive,
-            false => alive + self.hall_peers(false, now).rank,
+            true => preceding,
+            false => preceding + self.hall_peers(false, now).rank,
         }
     }
 
-    /// Returns what the box that wrote a version of the lease's row last said of its right. Each version was written by
-    /// one box alone.
+    /// Returns the last announcement for a version of the lease's row. Each version is written by one box only.
     pub fn announcement(&self, version: u64) -> Option<LeaseAnnouncement> {
-        let words = self.peers.values().filter_map(|peer| peer.word);
-        let words = words.chain(self.giver.relayed_announcement());
-        words.into_iter().find(|word| word.version == version)
+        let own = self.peers.values().filter_map(|peer| peer.announcement);
+        let all = own.chain(self.holder.relayed_announcement());
+        all.into_iter().find(|announcement| announcement.version == version)
     }
 
-    /// Returns every box that is alive or was listed just now; of boxes that have no reason to speak to this one all
-    /// that are listed.
+    /// Returns the boxes that are alive or were listed recently, and all listed boxes that are not expected to send
+    /// digests to this one.
     pub fn reachable(&self, now: Moment) -> Vec<Ipv4Addr> {
-        let sight = self.sight();
-        let reachable = self.peers.iter().filter(|(_, peer)| sight.is_reachable(peer, now));
+        let sources = self.digest_sources();
+        let reachable = self.peers.iter().filter(|(_, peer)| sources.is_reachable(peer, now));
         reachable.map(|(ip, _)| *ip).collect()
     }
 
-    fn sight(&self) -> Sight {
-        let hears_all = self.halls.is_small_fleet();
-        let hears_hall = hears_all || self.is_local_delegate();
-        Sight { hears_all, hears_hall, hall: self.me.hall }
+    fn digest_sources(&self) -> DigestSources {
+        let is_whole_fleet = self.halls.is_small_fleet();
+        let is_whole_hall = is_whole_fleet || self.is_local_delegate();
+        DigestSources { is_whole_fleet, is_whole_hall, hall: self.me.hall }
     }
 
-    /// Returns every box that was ever listed or heard.
+    /// Returns every other box that was ever listed or sent a digest.
     pub fn all(&self) -> Vec<Ipv4Addr> {
         self.peers.keys().copied().collect()
     }
 
-    /// Returns all boxes of which it is known where they stand, this one included.
+    /// Returns the entries of all known boxes, this one included.
     pub fn listed_boxes(&self) -> Vec<ListedBox> {
         self.halls.all().collect()
     }
 
-    /// Returns the boxes of this hall that this box hands a list of all on to: with the others that speak for the hall
-    /// they are all.
+    /// Returns the part of this hall to which this box forwards broadcasts, as a delegate. Together the hall's
+    /// delegates cover all of it.
     pub fn forward_targets(&self, now: Moment) -> Vec<Ipv4Addr> {
         let delegates = self.delegates(self.me.hall);
-        let Some(own) = delegates.iter().position(|ip| *ip == self.me.ip) else {
+        let Some(own_index) = delegates.iter().position(|ip| *ip == self.me.ip) else {
             return Vec::new();
         };
-        let mates = self.reachable_in_hall(now).into_iter().enumerate();
-        let is_own = |(index, _): &(usize, Ipv4Addr)| index % delegates.len() == own;
-        mates.filter(is_own).map(|(_, ip)| ip).collect()
+        let hall_peers = self.reachable_in_hall(now).into_iter().enumerate();
+        let is_own = |(index, _): &(usize, Ipv4Addr)| index % delegates.len() == own_index;
+        hall_peers.filter(is_own).map(|(_, ip)| ip).collect()
     }
 
-    /// Returns the boxes that hand a list of all boxes on to their halls.
+    /// Returns the delegates of all halls except this box.
     pub fn other_delegates(&self) -> Vec<Ipv4Addr> {
-        let first = self.halls.ids().flat_map(|hall| self.delegates(hall));
-        first.filter(|ip| *ip != self.me.ip).collect()
+        let delegates = self.halls.ids().flat_map(|hall| self.delegates(hall));
+        delegates.filter(|ip| *ip != self.me.ip).collect()
     }
 
-    /// Returns whom this box tells what all boxes are to know: in a large fleet the boxes that hand it on to their halls,
-    /// and its own part of its hall if it is one of these.
+    /// Returns the recipients of a message that has to reach all boxes: in a large fleet the delegates, which forward it
+    /// to their halls, and this box's own part of its hall if it is a delegate.
     pub fn broadcast_targets(&self, now: Moment) -> BroadcastTargets {
         if self.halls.is_small_fleet() {
             return BroadcastTargets { direct: self.reachable(now), forwarders: Vec::new() };
@@ -483,28 +481,28 @@
         BroadcastTargets { direct: self.forward_targets(now), forwarders: self.other_delegates() }
     }
 
-    /// Returns whether each box tells each.
+    /// Returns whether all boxes send digests to each other.
     pub fn is_small_fleet(&self) -> bool {
         self.halls.is_small_fleet()
     }
 
-    /// Returns how many boxes share budgets, this one included.
+    /// Returns the number of boxes that share budgets, this one included.
     pub fn budget_box_count(&self, now: Moment) -> usize {
         let is_small_fleet = self.halls.is_small_fleet();
         let counted = self
             .peers
             .values()
-            .filter(|peer| !is_small_fleet || now.since(peer.last_sign()) < COUNTED_FOR);
+            .filter(|peer| !is_small_fleet || now.since(peer.last_seen_at()) < BUDGET_SHARE_TIME);
         counted.count() + 1
     }
 
-    /// Returns the other boxes that are alive, of those that speak to this one.
+    /// Returns the other boxes whose digests reach this one and show them to be alive.
     pub fn alive(&self, now: Moment) -> Vec<Ipv4Addr> {
         self.peers.iter().filter(|(_, peer)| peer.is_alive(now)).map(|(ip, _)| *ip).collect()
     }
 
-    /// Returns the box that says that it gives orders.
+    /// Returns the live holder of the order lease.
     pub fn order_holder(&self, now: Moment) -> Option<Ipv4Addr> {
-        self.giver.live_holder(now)
+        self.holder.live_holder(now)
     }
 }
