--- a/trackfrontd/src/serving/boxes.rs
+++ b/trackfrontd/src/serving/boxes.rs
@@ -1,9 +1,9 @@
-//! The list of boxes: one row each in the platform's table, and word of it between boxes.
+//! Maintains the list of boxes, which has one row for each box in the platform's table.
 //!
-//! A box that comes back reads a few rows that follow its own in its hall, and asks those boxes for the whole list.
-//! Where the whole system starts for the first time, every box writes its row first; the first that lists them
-//! tells the rest, by way of the first boxes of each hall where there are many. So a start costs one write a box and a
-//! few lists.
+//! A box that returns reads a few rows after its own in its hall and asks those boxes for the whole list. When the whole
+//! system starts for the first time, every box writes its row, and the first one that lists all rows sends the list to
+//! the others, in a large fleet through the delegates of each hall. A start thus costs one write for each box and a few
+//! listings.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -24,70 +24,73 @@
 use super::node::{ServingNode, short_hall};
 use super::peer_socket::PeerSocket;
 
-/// The start of the keys of boxes' rows; the hall and the address follow.
+/// The prefix of the keys of box rows, followed by the hall and the address.
 const ROW_PREFIX: &str = "box/";
 
-/// How many rows a box that comes back reads from its own on: enough for some of these boxes to be up.
+/// The number of rows that a returning box reads, from its own on: enough that some of these boxes are up.
 const NEIGHBOURS: usize = 16;
 
-/// How many of these boxes are asked for the list of all, at the same time.
+/// The number of neighbours that are asked for the list of boxes, all at once.
 const NEIGHBOURS_ASKED: usize = 3;
 
-/// How long after its own row was written a box lists the others at the earliest: those that start with
-/// it have written theirs by then. Of two boxes at least one finds the other, and tells it.
-const FIRST_LIST: Duration = Duration::from_millis(500);
+/// The shortest time from writing its row until a box lists the others. Boxes that start with it have written their rows
+/// by then, so that of two boxes at least one finds the other and sends it the list.
+const FIRST_LISTING_DELAY: Duration = Duration::from_millis(500);
 
-/// Within how much longer each box picks its moment, so that the first can tell the others.
-const FIRST_LIST_SPREAD: Duration = Duration::from_millis(1_000);
+/// The range of the random delay before the first listing, in which the first box can send its list to the others.
+const FIRST_LISTING_JITTER: Duration = Duration::from_millis(1_000);
 
-/// How long after a failed call the row is written or the boxes are listed again; twice as long each time.
-const LIST_AGAIN: Duration = Duration::from_millis(700);
+/// The range of the random delay before a listing by boxes of a small hall that return together.
+const SMALL_HALL_JITTER: Duration = Duration::from_millis(300);
 
-/// The longest such pause.
-const LONGEST_AGAIN: Duration = Duration::from_millis(5_600);
+/// The first delay after a failed write or listing. It doubles while the table limits calls.
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// How often the reader of a hall lists the boxes after that.
-const LIST_EVERY: Duration = Duration::from_secs(60);
+/// The longest delay after a call that the table refused because of its rate limit.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(5_600);
 
-/// How many times longer other boxes wait, which the reader tells.
-const OTHERS_WAIT: u32 = 10;
+/// The interval between listings by the feed reader of a hall.
+const LISTING_INTERVAL: Duration = Duration::from_secs(60);
 
-/// How long a box that comes back waits for the list before it reads from the platform what others
-/// could hand it: several times what a call takes.
-const LIST_TIME: Duration = Duration::from_millis(250);
+/// The factor by which other boxes, which receive the reader's list, list less often.
+const NON_READER_INTERVAL_FACTOR: u32 = 10;
 
-/// How long a box waits to learn of the others where all start for the first time.
-const START_TIME: Duration = Duration::from_millis(5_000);
+/// The time that a returning box waits for the list of boxes before it reads from the platform what its peers could
+/// send it: several times the duration of a call.
+const LIST_WAIT: Duration = Duration::from_millis(250);
 
-/// How much longer a box of many waits for others to have what it lacks, and how often it asks.
-const COPY_TIME: Duration = Duration::from_millis(4_000);
-const COPY_AGAIN: Duration = Duration::from_millis(250);
+/// The time that a box waits to discover its peers when all boxes start for the first time.
+const FIRST_START_WAIT: Duration = Duration::from_millis(5_000);
 
-/// How often it looks whether it knows the others.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// The additional time that a box waits for snapshots that its peers may not have yet.
+const SNAPSHOT_WAIT: Duration = Duration::from_millis(4_000);
 
-/// What the row of a box holds; its hall and its address stand in the key.
+/// The interval between requests for such a snapshot.
+const SNAPSHOT_RETRY_DELAY: Duration = Duration::from_millis(250);
+
+/// The interval at which a box checks whether it knows its peers.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// The value of a box's row. The hall and the address are in the key.
 #[derive(Serialize, Deserialize)]
 struct BoxRow {
     name: String,
-    strength: CapacityClass,
+    #[serde(rename = "strength")]
+    capacity: CapacityClass,
 }
 
-/// Within which time boxes of a small hall that come back together pick their moment.
-const SMALL_HALL_SPREAD: Duration = Duration::from_millis(300);
-
-/// What a box knows of its row and of the others when it starts.
+/// What a box knows of its row and its peers after the first attempt to join.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Start {
-    /// It has no row yet, as far as it knows.
+    /// It found no row of its own.
     New,
-    /// It has a row, and the others are not known; whether its hall is small is.
+    /// It has a row but does not know all of its peers. `is_small` says whether its hall has few boxes.
     Returned { is_small: bool },
-    /// The others are known.
+    /// It has a row and knows its peers.
     Joined,
 }
 
-/// Writes this box's row and learns of the others, then lists them again but seldom.
+/// Writes this box's row and lists its peers, then refreshes the list at long intervals.
 pub async fn maintain_box_list(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     let start = match node.settings.load().node.first_start {
         true => {
@@ -98,86 +101,89 @@
     };
     node.finish_first_listing();
     if start == Start::New {
-        write_until_there(&node).await;
+        write_row_until_stored(&node).await;
     }
-    let moment = rand::rng().random::<f64>();
+    let position = rand::rng().random::<f64>();
     match start {
         Start::Joined => {}
-        Start::Returned { is_small: true } => sleep(SMALL_HALL_SPREAD.mul_f64(moment)).await,
+        Start::Returned { is_small: true } => sleep(SMALL_HALL_JITTER.mul_f64(position)).await,
         _ => {
-            // The strongest list first, and tell the others.
-            let strength = node.settings.load().resources.capacity();
-            let pause = FIRST_LIST + FIRST_LIST_SPREAD.mul_f64(moment) * strength.delay_factor();
-            node.extend_discovery(pause);
-            sleep(pause).await;
+            // Boxes of high capacity list first and send the list to the others.
+            let capacity = node.settings.load().resources.capacity();
+            let jitter = FIRST_LISTING_JITTER.mul_f64(position) * capacity.delay_factor();
+            let delay = FIRST_LISTING_DELAY + jitter;
+            node.extend_discovery(delay);
+            sleep(delay).await;
         }
     }
     let mut is_known = start == Start::Joined;
-    let mut pauses = Pauses::default();
+    let mut backoff = Backoff::default();
     loop {
-        // What is known already, from the list at the start or from another box, is not listed now.
+        // Skip the listing for now if joining or another box has provided the list.
         if is_known || node.has_received_box_list() {
             let hall = node.peers.lock().hall_peers(node.is_store_lost(), node.now());
-            sleep(if hall.is_reader() { LIST_EVERY } else { LIST_EVERY * OTHERS_WAIT }).await;
+            let factor = if hall.is_reader() { 1 } else { NON_READER_INTERVAL_FACTOR };
+            sleep(LISTING_INTERVAL * factor).await;
         }
         match list(&node).await {
             Ok(_) => {
                 is_known = true;
-                pauses = Pauses::default();
-                tell(&node, &socket).await;
+                backoff = Backoff::default();
+                broadcast(&node, &socket).await;
             }
             Err(error) => {
-                log::info!(error:% = error; "boxes not listed");
+                log::info!(error:% = error; "listing the boxes failed");
                 let is_busy = matches!(error, TableError::RateLimited);
-                let pause = if is_busy { pauses.next() } else { LIST_AGAIN };
+                let delay = if is_busy { backoff.next_delay() } else { RETRY_DELAY };
                 if is_busy {
-                    node.extend_discovery(pause);
+                    node.extend_discovery(delay);
                 }
-                sleep(pause).await;
+                sleep(delay).await;
             }
         }
     }
 }
 
-/// The pauses between failed calls: many boxes that start together are more than a table takes at once, and those that
-/// ask again at the same pace keep it so.
+/// Exponential backoff with jitter. Many boxes that start together exceed the table's rate limit, and would keep
+/// exceeding it if they all retried at the same pace.
 #[derive(Default)]
-struct Pauses {
-    times: u32,
+struct Backoff {
+    retries: u32,
 }
 
-impl Pauses {
-    fn next(&mut self) -> Duration {
-        let longest = LIST_AGAIN.saturating_mul(2u32.saturating_pow(self.times)).min(LONGEST_AGAIN);
-        self.times += 1;
+impl Backoff {
+    fn next_delay(&mut self) -> Duration {
+        let longest =
+            RETRY_DELAY.saturating_mul(2u32.saturating_pow(self.retries)).min(MAX_RETRY_DELAY);
+        self.retries += 1;
         longest.mul_f64(rand::rng().random_range(0.5..1.0))
     }
 }
 
-async fn write_until_there(node: &ServingNode) {
-    let mut pauses = Pauses::default();
+async fn write_row_until_stored(node: &ServingNode) {
+    let mut backoff = Backoff::default();
     loop {
         match write_row(node).await {
-            Written::There => return,
-            Written::Busy => {
-                // Many start at once, so this box is not alone.
-                let pause = pauses.next();
-                node.extend_discovery(pause);
-                sleep(pause).await;
+            WriteOutcome::Stored => return,
+            WriteOutcome::Busy => {
+                // The table is busy because many boxes start at once, so this box has peers.
+                let delay = backoff.next_delay();
+                node.extend_discovery(delay);
+                sleep(delay).await;
             }
-            Written::Failed => sleep(LIST_AGAIN).await,
+            WriteOutcome::Failed => sleep(RETRY_DELAY).await,
         }
     }
 }
 
-/// Finds the others again after this box was away.
+/// Finds the peers of a box that may have been part of the fleet before.
 async fn join(node: &ServingNode) -> Start {
     let own = row_key(node);
     let prefix = hall_prefix(node);
     let rows = match neighbours(node, &prefix, &own).await {
         Ok(rows) => rows,
         Err(error) => {
-            log::info!(error:% = error; "neighbours not listed");
+            log::info!(error:% = error; "listing the neighbour boxes failed");
             return Start::New;
         }
     };
@@ -186,27 +192,27 @@
     if !is_small {
         node.set_prefers_snapshots();
     }
-    let boxes: Vec<ListedBox> = rows.iter().filter_map(listed).collect();
+    let boxes: Vec<ListedBox> = rows.iter().filter_map(parse_row).collect();
     {
         let mut peers = node.peers.lock();
-        boxes.iter().for_each(|one| peers.add_listed(*one, node.now()));
+        boxes.iter().for_each(|listed| peers.add_listed(*listed, node.now()));
     }
-    // These may be asked for other copies at once; the list of all can take longer.
+    // The neighbours can be asked for other snapshots now; the full list may take longer.
     node.finish_first_listing();
-    let mut asked: Vec<Ipv4Addr> = boxes.iter().map(|one| one.ip).collect();
+    let mut asked: Vec<Ipv4Addr> = boxes.iter().map(|listed| listed.ip).collect();
     asked.retain(|ip| *ip != node.settings.load().node.ip);
     asked.shuffle(&mut rand::rng());
     asked.truncate(NEIGHBOURS_ASKED);
     let boxes = exchange::fetch_boxes(node, &asked).await;
-    match boxes.filter(|boxes| note_all(node, boxes)) {
+    match boxes.filter(|boxes| apply_list(node, boxes)) {
         Some(_) if has_own_row => Start::Joined,
         _ if has_own_row => Start::Returned { is_small },
         _ => Start::New,
     }
 }
 
-/// Reads the rows of some boxes of a hall: this one's, if it is there, and those that follow it; from the first on
-/// where these are too few.
+/// Reads the rows of some boxes of a hall: this box's own, if it exists, and the next ones, continuing from the hall's
+/// first row if these are too few.
 async fn neighbours(
     node: &ServingNode,
     prefix: &str,
@@ -223,82 +229,84 @@
     Ok(rows)
 }
 
-/// Waits for the list of boxes as long as it is worth it.
+/// Waits for the list of boxes, but no longer than reading from the platform would take.
 pub async fn wait_for_box_list(node: &ServingNode) {
     if !node.settings.load().node.first_start {
         let ended = node.first_listing_finished();
         // Without the list the box reads from the platform itself.
-        let _ = timeout(LIST_TIME, ended).await;
+        let _ = timeout(LIST_WAIT, ended).await;
         return;
     }
-    while !node.are_boxes_listed() && node.age() < START_TIME {
-        sleep(LOOK_EVERY).await;
+    while !node.are_boxes_listed() && node.age() < FIRST_START_WAIT {
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Returns whether a box that lacks something at its start, and was given no copy, waits for others to have one: those
-/// that read for their halls get it from the platform. It does not wait for ever.
+/// Waits before another request for a snapshot that no peer had, and returns `true`. Returns `false` at once if the box
+/// should read from the platform: as its hall's feed reader, without peers that may have the snapshot soon, or after
+/// waiting too long.
 pub async fn wait_for_snapshot(node: &ServingNode) -> bool {
     let age = node.age();
     let is_reader = node.peers.lock().hall_peers(node.is_store_lost(), node.now()).is_reader();
     let must_read = is_reader && !node.is_discovering_peers();
-    if !node.prefers_snapshots() || must_read || age >= START_TIME + COPY_TIME {
+    if !node.prefers_snapshots() || must_read || age >= FIRST_START_WAIT + SNAPSHOT_WAIT {
         return false;
     }
-    sleep(COPY_AGAIN).await;
+    sleep(SNAPSHOT_RETRY_DELAY).await;
     true
 }
 
-/// Returns boxes that are likely up, those of this hall first, for a box that has heard of none.
+/// Returns the boxes that are likely up, those of this hall first, for a box that has no other source of snapshots.
 pub fn likely_up(node: &ServingNode) -> Vec<Ipv4Addr> {
     node.peers.lock().likely_up(node.now())
 }
 
-/// Takes in a list that another box read, and hands it on to its part of the hall if it is to.
-pub async fn apply_update(node: &ServingNode, socket: &PeerSocket, told: BoxListUpdate) {
-    if !note_all(node, &told.boxes) || !told.forward {
+/// Applies a list from another box, and forwards it to this box's part of the hall if requested.
+pub async fn apply_update(node: &ServingNode, socket: &PeerSocket, update: BoxListUpdate) {
+    if !apply_list(node, &update.boxes) || !update.forward {
         return;
     }
-    let part = {
+    let targets = {
         let peers = node.peers.lock();
         peers.forward_targets(node.now())
     };
-    let told = BoxListUpdate { forward: false, ..told };
-    socket.send(&Message::BoxList(told), &part).await;
+    let update = BoxListUpdate { forward: false, ..update };
+    socket.send(&Message::BoxList(update), &targets).await;
 }
 
-/// Learns of all boxes from a list. Returns whether it has this box: no list of its own is needed then.
-fn note_all(node: &ServingNode, boxes: &[ListedBox]) -> bool {
+/// Applies a list of all boxes. Returns whether it contains this box, which then needs no listing of its own.
+fn apply_list(node: &ServingNode, boxes: &[ListedBox]) -> bool {
     let me = node.settings.load().node.ip;
-    if !boxes.iter().any(|one| one.ip == me) {
+    if !boxes.iter().any(|listed| listed.ip == me) {
         return false;
     }
     let now = node.now();
     let mut peers = node.peers.lock();
-    boxes.iter().for_each(|one| peers.add_listed(*one, now));
+    boxes.iter().for_each(|listed| peers.add_listed(*listed, now));
     drop(peers);
     if !node.has_received_box_list() {
-        log::info!(boxes = boxes.len(); "boxes told of");
+        log::info!(boxes = boxes.len(); "box list received");
         node.set_boxes_listed();
         node.set_box_list_received();
     }
     true
 }
 
-/// Lists the boxes. Returns whether this one's row is among theirs.
+/// Lists the boxes. Returns whether this box's row is among theirs.
 async fn list(node: &ServingNode) -> Result<bool, TableError> {
     count(node, "list_boxes");
     let rows = node.ports.table.scan_groups(ROW_PREFIX).await?;
     let now = node.now();
     let me = node.settings.load().node.ip;
-    let boxes: Vec<ListedBox> = rows.iter().filter_map(listed).collect();
-    let has_own_row = boxes.iter().any(|one| one.ip == me);
+    let boxes: Vec<ListedBox> = rows.iter().filter_map(parse_row).collect();
+    let has_own_row = boxes.iter().any(|listed| listed.ip == me);
     let mut peers = node.peers.lock();
-    boxes.iter().for_each(|one| peers.add_listed(*one, now));
+    boxes.iter().for_each(|listed| peers.add_listed(*listed, now));
     drop(peers);
     log::info!(boxes = boxes.len(), has_own_row; "boxes listed");
-    // A list from before this box wrote its row may lack others that start now as well. Taken for one of all, it made
-    // three to six boxes of six read for their two halls in 9 of 112 starts; equal parts of limits go by it too.
+    // A list from before this box wrote its row may also lack other boxes that are starting. Treating it as complete
+    // made three to six of six boxes feed readers of their two halls in 9 of 112 starts. The division of limits among
+    // boxes relies on a complete list as well.
     if has_own_row {
         node.set_boxes_listed();
     }
@@ -306,30 +314,30 @@
     Ok(has_own_row)
 }
 
-/// Reads the row of a box. One whose key names no box is passed over; one whose value cannot be read bears little.
-fn listed(row: &Row) -> Option<ListedBox> {
-    let place = row.key.0.strip_prefix(ROW_PREFIX).and_then(|place| place.split_once('/'));
-    let Some((hall, ip)) = place.and_then(|(hall, ip)| Some((hall, ip.parse().ok()?))) else {
-        log::warn!(row = row.key.0; "row of a box not understood");
+/// Parses the row of a box. A row with an invalid key is skipped; one with an invalid value gets the lowest capacity.
+fn parse_row(row: &Row) -> Option<ListedBox> {
+    let suffix = row.key.0.strip_prefix(ROW_PREFIX).and_then(|suffix| suffix.split_once('/'));
+    let Some((hall, ip)) = suffix.and_then(|(hall, ip)| Some((hall, ip.parse().ok()?))) else {
+        log::warn!(row = row.key.0; "invalid key of a box row");
         return None;
     };
-    let read = serde_json::from_slice(&row.value).map(|row: BoxRow| row.strength);
-    let strength = read.unwrap_or_else(|error| {
-        log::warn!(row = row.key.0, error:% = error; "row of a box not understood");
+    let parsed = serde_json::from_slice(&row.value).map(|row: BoxRow| row.capacity);
+    let capacity = parsed.unwrap_or_else(|error| {
+        log::warn!(row = row.key.0, error:% = error; "invalid value of a box row");
         CapacityClass::default()
     });
-    Some(ListedBox { ip, hall: short_hall(&HallName::from(hall)), capacity: strength })
+    Some(ListedBox { ip, hall: short_hall(&HallName::from(hall)), capacity })
 }
 
-/// Tells all boxes of the list which there are.
-async fn tell(node: &ServingNode, socket: &PeerSocket) {
-    let (boxes, all) = {
+/// Sends the list of boxes to all of them.
+async fn broadcast(node: &ServingNode, socket: &PeerSocket) {
+    let (boxes, targets) = {
         let peers = node.peers.lock();
         (peers.listed_boxes(), peers.broadcast_targets(node.now()))
     };
-    let told = |forward| Message::BoxList(BoxListUpdate { boxes: boxes.clone(), forward });
-    socket.send(&told(true), &all.forwarders).await;
-    socket.send(&told(false), &all.direct).await;
+    let message = |forward| Message::BoxList(BoxListUpdate { boxes: boxes.clone(), forward });
+    socket.send(&message(true), &targets.forwarders).await;
+    socket.send(&message(false), &targets.direct).await;
 }
 
 fn hall_prefix(node: &ServingNode) -> String {
@@ -344,31 +352,31 @@
     node.metrics.store_calls.get_or_create(&KindLabel { kind }).inc();
 }
 
-/// What came of writing this box's row.
-enum Written {
-    /// It is there.
-    There,
-    /// The table takes no more writes now.
+/// The outcome of writing this box's row.
+enum WriteOutcome {
+    /// The row is stored.
+    Stored,
+    /// The table refused the write because of its rate limit.
     Busy,
-    /// It may not be there.
+    /// The row may not be stored.
     Failed,
 }
 
-async fn write_row(node: &ServingNode) -> Written {
+async fn write_row(node: &ServingNode) -> WriteOutcome {
     count(node, "write_box");
     let settings = node.settings.load();
     let key = row_key(node);
-    // If the row is there already, an earlier process of this machine wrote it.
+    // An existing row was written by an earlier process of this box.
     let expect = Expect::Absent;
     let id = TxnId::from(draw_id("node", &mut rand::rng()));
-    let (name, strength) = (settings.node.name.clone(), settings.resources.capacity());
-    let row = BoxRow { name, strength };
+    let (name, capacity) = (settings.node.name.clone(), settings.resources.capacity());
+    let row = BoxRow { name, capacity };
     let value = serde_json::to_vec(&row).expect("our own types always encode");
     let value = Some(Bytes::from(value));
     let transaction = Transaction { id, writes: vec![Write { key, expect, value }] };
     match node.ports.table.commit(&transaction).await {
-        CommitOutcome::Applied | CommitOutcome::Conflict { .. } => Written::There,
-        CommitOutcome::NotApplied(TableError::RateLimited) => Written::Busy,
-        CommitOutcome::NotApplied(_) | CommitOutcome::Unknown(_) => Written::Failed,
+        CommitOutcome::Applied | CommitOutcome::Conflict { .. } => WriteOutcome::Stored,
+        CommitOutcome::NotApplied(TableError::RateLimited) => WriteOutcome::Busy,
+        CommitOutcome::NotApplied(_) | CommitOutcome::Unknown(_) => WriteOutcome::Failed,
     }
 }
