--- a/trackfrontd/src/serving/exchange.rs
+++ b/trackfrontd/src/serving/exchange.rs
@@ -242,7 +242,7 @@
     if let Some(newest) = newest {
         node.config_freshness.merge_report(newest, asked_at);
     }
-    follow::apply_hall_records(node, &copy.halls, follow::Source::OtherBox);
+    follow::apply_hall_statuses(node, &copy.halls, follow::Source::OtherBox);
     Some(StoredConfig { row_version: copy.row, config: Ok(copy.config) })
 }
 
--- a/trackfrontd/src/serving/follow/config.rs
+++ b/trackfrontd/src/serving/follow/config.rs
@@ -100,7 +100,7 @@
                 }
             }
             let words = node.evacuations.lock().statuses_from_listing(halls, version);
-            let halls_are_news = apply_hall_records(node, &words, Source::Platform);
+            let halls_are_news = apply_hall_statuses(node, &words, Source::Platform);
             Some(Read { version, halls_are_news })
         }
         Err(error) => {
@@ -139,7 +139,7 @@
                     match word {
                         OperatorWord::Config(stored) => take(node, stored),
                         OperatorWord::Hall(word) => {
-                            halls_are_news |= apply_hall_records(node, &[word], Source::Platform);
+                            halls_are_news |= apply_hall_statuses(node, &[word], Source::Platform);
                         }
                     }
                 }
@@ -162,7 +162,7 @@
 }
 
 /// Takes in what the operator said of halls. Returns whether one is used differently from now on.
-pub fn apply_hall_records(node: &ServingNode, words: &[HallStatus], source: Source) -> bool {
+pub fn apply_hall_statuses(node: &ServingNode, words: &[HallStatus], source: Source) -> bool {
     let now = node.now();
     let mut evacuations = node.evacuations.lock();
     let changed: Vec<&HallStatus> =
--- a/trackfrontd/src/serving/follow/mod.rs
+++ b/trackfrontd/src/serving/follow/mod.rs
@@ -9,5 +9,5 @@
 mod feed_client;
 mod servers;
 
-pub use config::{apply_hall_records, follow_config};
+pub use config::{apply_hall_statuses, follow_config};
 pub use servers::{Source, drop_expired_rows, follow_servers, handle_events};
--- a/trackfrontd/src/serving/gossip.rs
+++ b/trackfrontd/src/serving/gossip.rs
@@ -1,8 +1,8 @@
-//! What nodes tell each other: requests under way, demand, and what the giver of orders did.
+//! Exchanges digests with other boxes: requests in flight, demand, and the order holder's changes.
 //!
-//! A digest goes to every other node some times a second in one UDP datagram. Digests only make
-//! estimates better, and a lost one costs time at most. One thing that has to hold depends on a word
-//! in them: when the holder of the lease on orders says that its right ends.
+//! Each box sends its digest to others several times a second, in one UDP datagram each. Digests improve estimates, and
+//! a lost one costs some time at most. Correctness relies on one field only: the end of the order lease, as announced by
+//! the box that held it.
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -16,269 +16,273 @@
 use trackfront_core::serving::request::ModelRef;
 use trackfront_core::units::Moment;
 
-use super::feed_relay as relay;
 use super::messages::{DemandReport, Digest, LeaseReport, Message, OverlayEntry, ServerLoadReport};
 use super::node::{ServingNode, short_hall, short_item, short_server};
 use super::overlay::EntryKind;
 use super::peer_socket::{MAX_DATAGRAM, PeerSocket};
 use super::peer_tracker::{MIN_DIGEST_INTERVAL, PEER_TIMEOUT};
-use super::{boxes, config_freshness, crashes, missing_items, notices, permits, quota};
+use super::{boxes, config_freshness, crashes, feed_relay, missing_items, notices, permits, quota};
 
-/// The least time between a digest and one that is sent early for something urgent.
-const URGENT_GAP: Duration = Duration::from_millis(20);
+/// The shortest time between a digest and an early one.
+const MIN_EARLY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The part of the time between digests after which the giver may send one early: a tenth of its
-/// link is not taken by what is urgent, also with many nodes.
-const URGENT_SHARE: u32 = 3;
+/// The order holder sends an early digest no sooner than this fraction of the digest interval after the last one, so
+/// that early digests take less than a tenth of its link even in a large fleet.
+const HOLDER_EARLY_DIVISOR: u32 = 3;
 
-/// Every how many rounds the giver is told of the demand.
-const DEMAND_EVERY: u64 = 4;
+/// The interval, in rounds, between demand reports to the order holder.
+const DEMAND_ROUNDS: u64 = 4;
 
-/// The limits of what is decoded: no datagram makes the node reserve more than this.
-const DECODE_LIMIT: usize = 64 * 1024;
+/// The most bytes that decoding a datagram may allocate.
+const MAX_DECODED_BYTES: usize = 64 * 1024;
 
-/// Tells the other nodes, again and again.
+/// Sends digests and demand reports to the other boxes for as long as the node runs.
 pub async fn send_digests(
     node: Arc<ServingNode>,
     socket: Arc<PeerSocket>,
-    gives_orders: Arc<HoldsOrderLease>,
+    order_lease: Arc<HoldsOrderLease>,
 ) {
     let settings = node.settings.load_full();
-    let zone = short_hall(&settings.node.hall);
+    let hall = short_hall(&settings.node.hall);
     let mut round = 0u64;
-    let mut urgent = false;
+    let mut is_early = false;
     let mut digest_due = Instant::now();
     loop {
         let now = node.now();
         node.loads.lock().forget_old(now);
-        // What the giver did is urgent for all; what is lacking is so for the giver alone.
-        let gives = gives_orders.get();
-        let (told, gap) = {
+        // The order holder's changes are urgent for all boxes, missing items only for the order holder.
+        let is_holder = order_lease.get();
+        let (targets, interval) = {
             let mut peers = node.peers.lock();
             peers.update_missing(now);
-            let told = match urgent && gives {
+            let targets = match is_early && is_holder {
                 true => peers.urgent_targets(now),
                 false => peers.digest_targets(round, now),
             };
-            let gap = peers.digest_interval(told.len());
-            (told, gap)
+            let interval = peers.digest_interval(targets.len());
+            (targets, interval)
         };
-        // A node that lacks something all the time is no less alive: others go by its digests.
+        // Digests show that this box is alive, so missing items must not keep delaying them.
         let is_due = Instant::now() >= digest_due;
-        if gives || is_due {
-            let right = gives_orders.report(now);
-            let digest = digest(&node, zone, gives, right);
-            socket.send(&Message::Digest(digest), &told).await;
+        if is_holder || is_due {
+            let lease = order_lease.report(now);
+            let digest = digest(&node, hall, is_holder, lease);
+            socket.send(&Message::Digest(digest), &targets).await;
         }
-        let lacks = node.missing_items.take();
-        if !gives && (!lacks.is_empty() || (is_due && round.is_multiple_of(DEMAND_EVERY))) {
-            let giver = node.peers.lock().order_holder(now);
-            let demand = Message::Demand(demand(&node, &lacks));
-            socket.send(&demand, giver.as_slice()).await;
+        let missing = node.missing_items.take();
+        if !is_holder && (!missing.is_empty() || (is_due && round.is_multiple_of(DEMAND_ROUNDS))) {
+            let holder = node.peers.lock().order_holder(now);
+            let demand = Message::Demand(demand(&node, &missing));
+            socket.send(&demand, holder.as_slice()).await;
         }
         if is_due {
             round += 1;
-            digest_due = Instant::now() + gap;
+            digest_due = Instant::now() + interval;
         }
-        let urgent_gap = match gives {
-            true => URGENT_GAP.max(gap / URGENT_SHARE),
-            false => URGENT_GAP,
+        let early_interval = match is_holder {
+            true => MIN_EARLY_INTERVAL.max(interval / HOLDER_EARLY_DIVISOR),
+            false => MIN_EARLY_INTERVAL,
         };
         let start = Instant::now();
-        urgent = timeout(gap, node.digest_requested.notified()).await.is_ok();
-        sleep_until(start + urgent_gap).await;
+        is_early = timeout(interval, node.digest_requested.notified()).await.is_ok();
+        sleep_until(start + early_interval).await;
     }
 }
 
-/// Whether this node holds the lease on orders, and until when it has the right to give them, for
-/// its digests.
+/// Whether this node holds the order lease, and its last announcement of the lease's end.
 #[derive(Debug, Default)]
 pub struct HoldsOrderLease(std::sync::atomic::AtomicBool, Mutex<Option<LeaseAnnouncement>>);
 
 impl HoldsOrderLease {
-    /// Returns whether it holds the lease.
+    /// Returns whether this node holds the lease.
     pub fn get(&self) -> bool {
         self.0.load(std::sync::atomic::Ordering::Relaxed)
     }
 
-    /// Notes whether it holds the lease.
-    pub fn set(&self, gives: bool) {
-        self.0.store(gives, std::sync::atomic::Ordering::Relaxed);
+    /// Sets whether this node holds the lease.
+    pub fn set(&self, is_holder: bool) {
+        self.0.store(is_holder, std::sync::atomic::Ordering::Relaxed);
     }
 
-    /// Notes when its right ends under the version of the lease's row that it wrote last. Others are
-    /// told also after it lost the lease: they may take it the sooner.
-    pub fn announce(&self, word: LeaseAnnouncement) {
-        *self.1.lock() = Some(word);
+    /// Sets the end of the lease under the row version that this node wrote last. It stays in the digests after the node
+    /// has lost the lease, which lets other boxes take it sooner.
+    pub fn announce(&self, announcement: LeaseAnnouncement) {
+        *self.1.lock() = Some(announcement);
     }
 
-    /// Returns until when it may give orders, as other boxes are told.
+    /// Returns the last announcement as of `now`, for a digest.
     pub fn report(&self, now: Moment) -> Option<LeaseReport> {
         LeaseReport::from_announcement((*self.1.lock())?, now)
     }
 }
 
-fn digest(node: &ServingNode, zone: u32, gives_orders: bool, right: Option<LeaseReport>) -> Digest {
+fn digest(node: &ServingNode, hall: u32, is_holder: bool, lease: Option<LeaseReport>) -> Digest {
     let loads = node.loads.lock();
-    let shares = loads.own_in_flight();
-    let shares =
-        shares.map(|(id, share)| ServerLoadReport::new(short_server(id), &share)).collect();
+    let in_flight = loads.own_in_flight();
+    let server_loads = in_flight
+        .map(|(id, in_flight)| ServerLoadReport::new(short_server(id), &in_flight))
+        .collect();
     drop(loads);
-    // Only the giver's notes are its own; others would repeat them for ever.
-    let notes = match gives_orders {
-        true => notes(node),
+    // Only the holder sends its overlay entries. If others repeated them, the entries would never expire.
+    let overlay_entries = match is_holder {
+        true => overlay_entries(node),
         false => Vec::new(),
     };
-    let config = node.config.load().as_ref().map_or(0, |config| config.version);
+    let config_version = node.config.load().as_ref().map_or(0, |config| config.version);
     let (stopping, store_lost) = (node.is_stopping(), node.is_store_lost());
-    let strength = node.settings.load().resources.capacity();
-    let giver = match gives_orders {
+    let capacity = node.settings.load().resources.capacity();
+    let holder = match is_holder {
         true => None,
         false => node.peers.lock().holder_report(node.now()),
     };
     Digest {
-        hall: zone,
-        capacity: strength,
-        config_version: config,
-        holds_order_lease: gives_orders,
+        hall,
+        capacity,
+        config_version,
+        holds_order_lease: is_holder,
         stopping,
         store_lost,
-        lease: right,
-        holder: giver,
-        server_loads: shares,
-        overlay_entries: notes,
+        lease,
+        holder,
+        server_loads,
+        overlay_entries,
     }
 }
 
-fn notes(node: &ServingNode) -> Vec<OverlayEntry> {
+fn overlay_entries(node: &ServingNode) -> Vec<OverlayEntry> {
     let overlay = node.overlay.lock();
-    let note = |(server, item, kind): (&_, &_, EntryKind)| {
+    let entry = |(server, item, kind): (&_, &_, EntryKind)| {
         (short_server(server), short_item(item), kind == EntryKind::Added)
     };
-    overlay.all().map(note).collect()
+    overlay.all().map(entry).collect()
 }
 
-fn demand(node: &ServingNode, lacks: &BTreeSet<ModelRef>) -> DemandReport {
+fn demand(node: &ServingNode, missing: &BTreeSet<ModelRef>) -> DemandReport {
     let own = node.demand.lock().own(node.now());
-    let told = |(item, rate): &(_, Rate)| {
+    let entry = |(item, rate): &(_, Rate)| {
         (short_item(item), (rate.requests * 100.0) as u32, rate.work_ms as u32)
     };
     let adapter_use = node.adapter_use.lock();
     let in_use = adapter_use.own().map(|(server, item)| (short_server(server), short_item(item)));
-    let lacks = lacks.iter().map(short_item).collect();
-    DemandReport {
-        rates: own.iter().map(told).collect(),
-        missing_items: lacks,
-        in_use: in_use.collect(),
-    }
+    let missing_items = missing.iter().map(short_item).collect();
+    DemandReport { rates: own.iter().map(entry).collect(), missing_items, in_use: in_use.collect() }
 }
 
-/// Hears the other nodes.
+/// Receives and handles messages of other boxes for as long as the node runs.
 pub async fn receive_messages(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM];
-    let mut reported = Moment::default();
+    let mut warned_at = Moment::default();
     loop {
         let (length, ip) = match socket.receive(&mut buffer).await {
             Ok(Some(received)) => received,
             Ok(None) => continue,
             Err(error) => {
-                log::debug!(error:% = error; "no datagram received");
+                log::debug!(error:% = error; "receiving a datagram failed");
                 tokio::time::sleep(MIN_DIGEST_INTERVAL).await;
                 continue;
             }
         };
-        let config = bincode::config::standard().with_limit::<DECODE_LIMIT>();
+        let config = bincode::config::standard().with_limit::<MAX_DECODED_BYTES>();
         match bincode::serde::decode_from_slice::<Message, _>(&buffer[..length], config) {
             Ok((Message::Digest(digest), _)) => {
-                pass_on(&node, &socket, ip, &digest.overlay_entries).await;
-                take_in(&node, ip, digest);
+                forward_entries(&node, &socket, ip, &digest.overlay_entries).await;
+                apply_digest(&node, ip, digest);
+            }
+            Ok((Message::OverlayEntries(entries), _)) => apply_entries(&node, &entries),
+            Ok((Message::Demand(report), _)) => apply_demand(&node, &socket, ip, &report),
+            Ok((Message::FeedUpdate(update), _)) => feed_relay::apply_update(&node, ip, update),
+            Ok((Message::PackedFeedUpdate(packed), _)) => {
+                feed_relay::apply_packed(&node, ip, &packed)
             }
-            Ok((Message::OverlayEntries(notes), _)) => take_notes(&node, &notes),
-            Ok((Message::Demand(told), _)) => take_demand(&node, &socket, ip, &told),
-            Ok((Message::FeedUpdate(relay), _)) => relay::apply_update(&node, ip, relay),
-            Ok((Message::PackedFeedUpdate(packed), _)) => relay::apply_packed(&node, ip, &packed),
-            Ok((Message::PendingItems(coming), _)) => missing_items::apply_report(&node, &coming),
-            Ok((Message::BoxList(told), _)) => boxes::apply_update(&node, &socket, told).await,
-            Ok((Message::ConfigVersionRequest(question), _)) => {
-                config_freshness::handle_request(&node, &socket, ip, question)
+            Ok((Message::PendingItems(items), _)) => missing_items::apply_report(&node, &items),
+            Ok((Message::BoxList(update), _)) => boxes::apply_update(&node, &socket, update).await,
+            Ok((Message::ConfigVersionRequest(request), _)) => {
+                config_freshness::handle_request(&node, &socket, ip, request)
             }
-            Ok((Message::ConfigVersionReply(told), _)) => {
-                config_freshness::handle_reply(&node, ip, told)
+            Ok((Message::ConfigVersionReply(reply), _)) => {
+                config_freshness::handle_reply(&node, ip, reply)
             }
             Ok((Message::QuotaRequest(ask), _)) => quota::answer(&node, &socket, ip, &ask),
             Ok((Message::QuotaReply(answer), _)) => quota::handle_answer(&node, ip, &answer),
             Ok((Message::CrashReports(reports), _)) => crashes::merge_reports(&node, ip, &reports),
             Ok((Message::ServersEnded(servers), _)) => crashes::merge_ended(&node, &servers),
-            Ok((Message::Notices(told), _)) => {
-                notices::handle_batch(&node, &socket, ip, told).await
+            Ok((Message::Notices(batch), _)) => {
+                notices::handle_batch(&node, &socket, ip, batch).await
             }
-            Ok((Message::PermitRequest(ask), _)) => permits::answer(&node, &socket, ip, &ask),
-            Ok((Message::PermitReply(told), _)) => permits::handle_reply(&node, told),
+            Ok((Message::PermitRequest(request), _)) => {
+                permits::answer(&node, &socket, ip, &request)
+            }
+            Ok((Message::PermitReply(reply), _)) => permits::handle_reply(&node, reply),
             Err(error) => {
                 let now = node.now();
-                if now.since(reported) > PEER_TIMEOUT {
-                    log::warn!(from:% = ip, error:% = error; "message not understood");
-                    reported = now;
+                if now.since(warned_at) > PEER_TIMEOUT {
+                    log::warn!(from:% = ip, error:% = error; "decoding a message failed");
+                    warned_at = now;
                 }
             }
         }
     }
 }
 
-fn take_demand(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, told: &DemandReport) {
+fn apply_demand(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, report: &DemandReport) {
     let names = node.names.lock();
-    let rates = told.rates.iter().filter_map(|(item, requests, work_ms)| {
+    let rates = report.rates.iter().filter_map(|(item, requests, work_ms)| {
         let rate = Rate { requests: f64::from(*requests) / 100.0, work_ms: f64::from(*work_ms) };
         Some((names.item(*item)?.clone(), rate))
     });
     node.demand.lock().apply_report(ip.to_bits(), rates.collect(), node.now());
-    let in_use = told.in_use.iter().filter_map(|(server, item)| {
+    let in_use = report.in_use.iter().filter_map(|(server, item)| {
         Some((names.server(*server)?.clone(), names.item(*item)?.clone()))
     });
     node.adapter_use.lock().apply_peer_report(ip.to_bits(), in_use.collect(), node.now());
-    let lacks: Vec<ModelRef> =
-        told.missing_items.iter().filter_map(|item| names.item(*item).cloned()).collect();
+    let missing: Vec<ModelRef> =
+        report.missing_items.iter().filter_map(|item| names.item(*item).cloned()).collect();
     drop(names);
-    if !lacks.is_empty() {
-        missing_items::answer(node, socket, ip, &lacks);
+    if !missing.is_empty() {
+        missing_items::answer(node, socket, ip, &missing);
         node.missing_item_added.notify_one();
     }
 }
 
-fn take_in(node: &ServingNode, ip: Ipv4Addr, digest: Digest) {
+fn apply_digest(node: &ServingNode, ip: Ipv4Addr, digest: Digest) {
     let now = node.now();
     node.peers.lock().record_digest(ip, &digest, now);
     let names = node.names.lock();
-    let shares = digest
+    let server_loads = digest
         .server_loads
         .iter()
-        .filter_map(|told| Some((names.server(told.server)?.clone(), told.in_flight())));
-    node.loads.lock().apply_peer_report(ip.to_bits(), shares.collect(), now);
+        .filter_map(|load| Some((names.server(load.server)?.clone(), load.in_flight())));
+    node.loads.lock().apply_peer_report(ip.to_bits(), server_loads.collect(), now);
     drop(names);
-    take_notes(node, &digest.overlay_entries);
+    apply_entries(node, &digest.overlay_entries);
 }
 
-fn take_notes(node: &ServingNode, notes: &[OverlayEntry]) {
-    if notes.is_empty() {
+fn apply_entries(node: &ServingNode, entries: &[OverlayEntry]) {
+    if entries.is_empty() {
         return;
     }
     let now = node.now();
     let names = node.names.lock();
     let mut overlay = node.overlay.lock();
-    for (server, item, added) in notes {
+    for (server, item, is_added) in entries {
         if let (Some(server), Some(item)) = (names.server(*server), names.item(*item)) {
-            let kind = if *added { EntryKind::Added } else { EntryKind::Withdrawn };
+            let kind = if *is_added { EntryKind::Added } else { EntryKind::Withdrawn };
             overlay.record(server, item, kind, now);
         }
     }
     node.servers_changed.notify_waiters();
 }
 
-/// Passes on to this hall what the giver of orders did, if it told only the boxes that speak for their halls.
-async fn pass_on(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, notes: &[OverlayEntry]) {
-    if notes.is_empty() || !node.peers.lock().forwards_from(ip) {
+/// Forwards overlay entries of the order holder to this hall, if the holder sent them only to delegates.
+async fn forward_entries(
+    node: &ServingNode,
+    socket: &PeerSocket,
+    ip: Ipv4Addr,
+    entries: &[OverlayEntry],
+) {
+    if entries.is_empty() || !node.peers.lock().forwards_from(ip) {
         return;
     }
-    let mates = node.peers.lock().reachable_in_hall(node.now());
-    socket.send(&Message::OverlayEntries(notes.to_vec()), &mates).await;
+    let targets = node.peers.lock().reachable_in_hall(node.now());
+    socket.send(&Message::OverlayEntries(entries.to_vec()), &targets).await;
 }
--- a/trackfrontd/tests/messages.rs
+++ b/trackfrontd/tests/messages.rs
@@ -52,7 +52,7 @@
         },
     };
     let changes: Vec<ServerChange> = names.iter().enumerate().map(change).collect();
-    let update = FeedUpdate::Servers { from: 999, to: 1_023, changes, lapses_ms: 0 };
+    let update = FeedUpdate::Servers { from: 999, to: 1_023, changes, expiry_grace_ms: 0 };
     let bytes = pack(&update).len() / names.len();
     println!("{bytes} bytes a change");
     assert!(bytes <= 60, "{bytes}");
