--- a/trackfront_core/src/serving/mod.rs
+++ b/trackfront_core/src/serving/mod.rs
@@ -1,7 +1,7 @@
 //! The decisions behind the request pipeline: routing, server selection, retries and placement.
 //!
-//! The modules do no I/O and read no clock; moments are passed as arguments. The runtime around them
-//! is `trackfrontd::serving`. They depend only on [`crate::accounts`], [`crate::ids`],
+//! The modules do no I/O and read no clock; moments are passed as arguments. The runtime around
+//! them is `trackfrontd::serving`. They depend only on [`crate::accounts`], [`crate::ids`],
 //! [`crate::units`], [`crate::lease`] and, for the order of coordinators, [`crate::quota`].
 
 pub mod adapter_use;
--- a/trackfront_core/src/serving/planner/adapters.rs
+++ b/trackfront_core/src/serving/planner/adapters.rs
@@ -132,8 +132,8 @@
     }
 
     /// Returns the adapter with the least demand on the engines in `open`, if its demand is below
-    /// `demand`. Adapters in use are skipped, since they stay loaded. A swap takes only milliseconds, so
-    /// the new adapter needs no margin over the one that it displaces.
+    /// `demand`. Adapters in use are skipped, since they stay loaded. A swap takes only
+    /// milliseconds, so the new adapter needs no margin over the one that it displaces.
     fn least_demanded(&self, open: &[usize], demand: f64) -> Option<(usize, ModelRef)> {
         let mut least: Option<(f64, usize, ModelRef)> = None;
         let has_capacity = |index: &&usize| self.proposed(**index) + 2 <= MAX_ADAPTER_ORDERS;
--- a/trackfront_core/src/serving/planner/mod.rs
+++ b/trackfront_core/src/serving/planner/mod.rs
@@ -109,8 +109,8 @@
 }
 
 /// Proposes orders, most urgent first: for each engine, one for a model or several for adapters.
-/// `engines` are those that accept orders and continue to serve; `store_loads` is the number of loads
-/// from the weight store that may begin now.
+/// `engines` are those that accept orders and continue to serve; `store_loads` is the number of
+/// loads from the weight store that may begin now.
 pub fn plan(
     spec: &EngineSpec,
     engines: &[EngineView],
--- a/trackfront_core/tests/serving/directory_random.rs
+++ b/trackfront_core/tests/serving/directory_random.rs
@@ -33,9 +33,10 @@
 struct Table {
     at_version: Vec<BTreeMap<ServerKey, (u64, ServerEntry)>>,
     changes: Vec<ServerChange>,
-    incarnation: u64,
+    /// The number of the last server that was added.
+    last_server: u64,
     /// The keys under which a row of an earlier incarnation was written after that of a later one.
-    mixed: BTreeSet<ServerKey>,
+    reordered: BTreeSet<ServerKey>,
 }
 
 impl Table {
@@ -74,7 +75,7 @@
                 let was_first = rows[&id].1.started == Some(0);
                 let is_late = !was_first && rng.random_bool(0.3);
                 if is_late {
-                    self.mixed.insert(id.clone());
+                    self.reordered.insert(id.clone());
                 }
                 let started = if is_late { 0 } else { version };
                 let entry = ServerEntry {
@@ -91,8 +92,8 @@
                 self.write(ServerChange::Set { version, entry }, rows);
             }
             _ => {
-                self.incarnation += 1;
-                let mut entry = entry(&format!("s{}", self.incarnation), &[]);
+                self.last_server += 1;
+                let mut entry = entry(&format!("s{}", self.last_server), &[]);
                 (entry.id, entry.started) = (format!("{}@0", entry.key).into(), Some(0));
                 rows.insert(entry.key.clone(), (version, entry.clone()));
                 self.write(ServerChange::Set { version, entry }, rows);
@@ -111,7 +112,7 @@
     }
 }
 
-struct World {
+struct Simulation {
     table: Table,
     boxes: Vec<Directory>,
     in_transit: Vec<(usize, ReceivedChanges)>,
@@ -122,10 +123,10 @@
     now: u64,
 }
 
-impl World {
+impl Simulation {
     /// Sends changes to the other boxes; some messages are lost.
-    fn broadcast(&mut self, from_box: usize, received: ReceivedChanges, rng: &mut ChaCha8Rng) {
-        for message in received.into_messages(MAX_CHANGES) {
+    fn broadcast(&mut self, from_box: usize, batch: ReceivedChanges, rng: &mut ChaCha8Rng) {
+        for message in batch.into_messages(MAX_CHANGES) {
             for other in (0..BOXES).filter(|other| *other != from_box) {
                 if rng.random_bool(0.8) {
                     self.in_transit.push((other, message.clone()));
@@ -146,8 +147,8 @@
             return;
         };
         let changes = self.boxes[index].changes_for(&events, version);
-        let received = ReceivedChanges::from_listing(from, version, changes, MAX_CHANGES);
-        self.broadcast(index, received, rng);
+        let batch = ReceivedChanges::from_listing(from, version, changes, MAX_CHANGES);
+        self.broadcast(index, batch, rng);
     }
 
     /// Requests the changes from the feed; the answer arrives later.
@@ -166,9 +167,9 @@
             return;
         }
         let answer = rng.random_range(0..self.answers.len());
-        let (index, received) = self.answers.swap_remove(answer);
-        self.boxes[index].apply(received.changes.clone(), received.to, at(self.now));
-        self.broadcast(index, received, rng);
+        let (index, batch) = self.answers.swap_remove(answer);
+        self.boxes[index].apply(batch.changes.clone(), batch.to, at(self.now));
+        self.broadcast(index, batch, rng);
     }
 
     fn restart(&mut self, index: usize) {
@@ -200,10 +201,10 @@
             _ if self.in_transit.is_empty() => {}
             _ => {
                 let message = rng.random_range(0..self.in_transit.len());
-                let (to, received) = self.in_transit.swap_remove(message);
+                let (to, batch) = self.in_transit.swap_remove(message);
                 // A box that has not listed the servers yet applies no messages.
                 if self.boxes[to].newest_version() > 0 {
-                    self.boxes[to].apply_received(received, at(self.now));
+                    self.boxes[to].apply_received(batch, at(self.now));
                 }
             }
         }
@@ -241,9 +242,10 @@
         let rows = self.table.rows(version);
         let actual = known.all().map(|server| (server.entry.key.clone(), server.version));
         let actual: BTreeMap<_, _> = actual.filter(|(key, _)| !later.contains(key)).collect();
-        let is_there = actual.keys().all(|key| rows.contains_key(key));
-        assert!(is_there, "box {index} at version {version} has more than {rows:?}: {actual:?}");
-        let is_compared = |key: &ServerKey| !later.contains(key) && !self.table.mixed.contains(key);
+        let is_subset = actual.keys().all(|key| rows.contains_key(key));
+        assert!(is_subset, "box {index} at version {version} has more than {rows:?}: {actual:?}");
+        let is_compared =
+            |key: &ServerKey| !later.contains(key) && !self.table.reordered.contains(key);
         let actual: BTreeMap<_, _> =
             actual.into_iter().filter(|(key, _)| is_compared(key)).collect();
         let expected = rows.iter().map(|(key, row)| (key.clone(), row.0));
@@ -258,11 +260,11 @@
     let table = Table {
         at_version: vec![BTreeMap::new()],
         changes: Vec::new(),
-        incarnation: 0,
-        mixed: BTreeSet::new(),
+        last_server: 0,
+        reordered: BTreeSet::new(),
     };
     let boxes = (0..BOXES).map(|_| Directory::new(HEARTBEAT)).collect();
-    let mut world = World {
+    let mut simulation = Simulation {
         table,
         boxes,
         in_transit: Vec::new(),
@@ -270,9 +272,9 @@
         latest_starts: vec![BTreeMap::new(); BOXES],
         now: 1_000,
     };
-    world.table.change(&mut rng);
+    simulation.table.change(&mut rng);
     for _ in 0..STEPS {
-        world.step(&mut rng);
-        world.check();
+        simulation.step(&mut rng);
+        simulation.check();
     }
 }
--- a/trackfront_core/tests/serving/planner.rs
+++ b/trackfront_core/tests/serving/planner.rs
@@ -172,7 +172,8 @@
     full.in_use.insert(item("m", Some("a2")));
     let rates = [("m", None, 0.1), ("m", Some("a1"), 0.05), ("m", Some("a3"), 0.06)];
     let proposals = plan(&spec, &[full], &demand(&rates), 99).proposals;
-    // `a2` has the least demand but is in use; the demand for `a1` is nearly that of the new adapter.
+    // `a2` has the least demand but is in use; the demand for `a1` is nearly that of the new
+    // adapter.
     let expected = [
         ("x".into(), Operation::Unload, "m/a1".into()),
         ("x".into(), Operation::Load, "m/a3".into()),
--- a/trackfront_core/tests/serving/planner_random.rs
+++ b/trackfront_core/tests/serving/planner_random.rs
@@ -19,7 +19,7 @@
 /// The maximum number of adapter orders for an engine in one plan.
 const MAX_ADAPTER_ORDERS: usize = 4;
 
-struct State {
+struct Scenario {
     spec: EngineSpec,
     engines: Vec<EngineView>,
     demand: HashMap<ModelRef, Rate>,
@@ -69,7 +69,7 @@
     }
 }
 
-fn state(seed: u64) -> State {
+fn scenario(seed: u64) -> Scenario {
     let rng = &mut ChaCha8Rng::seed_from_u64(seed);
     let (models, adapters) = (2 + below(rng, 40), below(rng, 4));
     let names: Vec<String> = (0..models).map(name).collect();
@@ -86,14 +86,14 @@
         }
     }
     let store_loads = below(rng, 6);
-    State { spec: spec(&names, adapters, 4), engines, demand, store_loads }
+    Scenario { spec: spec(&names, adapters, 4), engines, demand, store_loads }
 }
 
 /// The proposals of one engine.
 type ByEngine<'a> = BTreeMap<&'a str, Vec<&'a Proposal>>;
 
-fn check(state: &State, proposals: &[Proposal]) {
-    let view = |id: &str| state.engines.iter().find(|one| one.id.as_str() == id).expect("known");
+fn check(scenario: &Scenario, proposals: &[Proposal]) {
+    let view = |id: &str| scenario.engines.iter().find(|one| one.id.as_str() == id).expect("known");
     let mut by_engine = ByEngine::new();
     for proposal in proposals {
         by_engine.entry(proposal.engine.as_str()).or_default().push(proposal);
@@ -119,16 +119,16 @@
             }
         }
     }
-    assert!(from_store <= state.store_loads, "{from_store} loads from the weight store");
+    assert!(from_store <= scenario.store_loads, "{from_store} loads from the weight store");
 }
 
 /// Checks that an unloaded model is served by another engine, or that an engine that unloads it
 /// keeps a local copy.
-fn check_last_copies(state: &State, proposals: &[Proposal]) {
+fn check_last_copies(scenario: &Scenario, proposals: &[Proposal]) {
     let mut unloaded: BTreeMap<&ModelName, Vec<&EngineView>> = BTreeMap::new();
     for proposal in proposals.iter().filter(|one| one.item.adapter.is_none()) {
         if proposal.operation == Operation::Unload {
-            let engine = state.engines.iter().find(|one| one.id == proposal.engine);
+            let engine = scenario.engines.iter().find(|one| one.id == proposal.engine);
             unloaded.entry(&proposal.item.model).or_default().push(engine.expect("known"));
         }
     }
@@ -142,7 +142,7 @@
         let keeps = |engine: &&EngineView| {
             engine.in_memory.contains(model) || engine.on_disk.contains(model)
         };
-        let remains = from.iter().any(keeps) || state.engines.iter().any(serves);
+        let remains = from.iter().any(keeps) || scenario.engines.iter().any(serves);
         assert!(remains, "{model} has no copy left");
     }
 }
@@ -151,11 +151,12 @@
 fn plans_respect_memory_load_rate_and_last_copies() {
     let mut orders = 0;
     for seed in 0..CASES {
-        let state = state(seed);
-        let planned = plan(&state.spec, &state.engines, &state.demand, state.store_loads);
-        check(&state, &planned.proposals);
-        check_last_copies(&state, &planned.proposals);
-        let again = plan(&state.spec, &state.engines, &state.demand, state.store_loads);
+        let scenario = scenario(seed);
+        let planned =
+            plan(&scenario.spec, &scenario.engines, &scenario.demand, scenario.store_loads);
+        check(&scenario, &planned.proposals);
+        check_last_copies(&scenario, &planned.proposals);
+        let again = plan(&scenario.spec, &scenario.engines, &scenario.demand, scenario.store_loads);
         assert_eq!(planned, again, "a plan depends on its inputs alone");
         orders += planned.proposals.len();
     }
