--- a/trackfront_core/src/lease.rs
+++ b/trackfront_core/src/lease.rs
@@ -61,9 +61,10 @@
 
 /// The state machine of one lease on a box that may hold it.
 #[derive(Debug)]
-pub struct LeaseHolder {
+pub struct LeaseMachine {
     ttl: Duration,
-    largest: Fence,
+    /// The largest fencing token under which this box has held the lease.
+    largest_fence: Fence,
 }
 
 #[state_machine(
@@ -71,14 +72,14 @@
     state(name = "LeaseState", derive(Debug, Clone, PartialEq, Eq)),
     after_transition = "Self::log_transition"
 )]
-impl LeaseHolder {
+impl LeaseMachine {
     /// Another box holds the lease, or none does.
     #[state]
     fn watching(&mut self, event: &LeaseEvent) -> Outcome<LeaseState> {
         match event {
             LeaseEvent::Written { fence, sent_at } => {
-                assert!(*fence > self.largest, "a takeover needs a larger fencing token");
-                self.largest = *fence;
+                assert!(*fence > self.largest_fence, "a takeover needs a larger fencing token");
+                self.largest_fence = *fence;
                 Transition(LeaseState::holding(*fence, self.valid_until(*sent_at)))
             }
             _ => Handled,
@@ -106,10 +107,10 @@
     }
 }
 
-impl LeaseHolder {
+impl LeaseMachine {
     /// Creates the state machine of a lease that lasts `ttl` after each write.
     pub fn new(ttl: Duration) -> Self {
-        Self { ttl, largest: Fence(0) }
+        Self { ttl, largest_fence: Fence(0) }
     }
 
     /// Returns until when the lease may be used if the write was sent at `sent_at`.
--- a/trackfront_core/src/lease/tests.rs
+++ b/trackfront_core/src/lease/tests.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn paused_holder_resumes_without_the_lease() {
-    let mut lease = LeaseHolder::new(TTL).state_machine();
+    let mut lease = LeaseMachine::new(TTL).state_machine();
     lease.handle(&LeaseEvent::Written { fence: Fence(5), sent_at: at(0) });
     assert_eq!(lease.state().usable(at(7)), Some(Fence(5)));
     assert_eq!(lease.state().usable(at(8)), None);
--- a/trackfront_core/tests/serving/orders_random.rs
+++ b/trackfront_core/tests/serving/orders_random.rs
@@ -9,7 +9,7 @@
 use statig::blocking::{IntoStateMachineExt, StateMachine};
 use trackfront_core::ids::{Fence, ModelName, NodeId};
 use trackfront_core::lease::{
-    LeaseAnnouncement, LeaseEvent, LeaseHolder, LeaseRow, LeaseTerms, ObservedLease,
+    LeaseAnnouncement, LeaseEvent, LeaseMachine, LeaseRow, LeaseTerms, ObservedLease,
     takeover_on_announcement, takeover_with_quiet_period,
 };
 use trackfront_core::serving::config::EngineSpec;
@@ -129,7 +129,7 @@
 
 struct Candidate {
     name: NodeId,
-    machine: StateMachine<LeaseHolder>,
+    machine: StateMachine<LeaseMachine>,
     seen: Option<ObservedLease>,
     pacer: LoadPacer,
     frozen_until: u64,
@@ -145,7 +145,7 @@
     fn new(index: usize) -> Self {
         Self {
             name: NodeId::from(format!("10.0.0.{index}")),
-            machine: LeaseHolder::new(TERMS.ttl).state_machine(),
+            machine: LeaseMachine::new(TERMS.ttl).state_machine(),
             seen: None,
             pacer: LoadPacer::new(LoadRateTerms::default(), at(0)),
             frozen_until: 0,
--- a/trackfrontd/src/serving/lease.rs
+++ b/trackfrontd/src/serving/lease.rs
@@ -14,7 +14,7 @@
 use trackfront_adapters::serving_metrics::KindLabel;
 use trackfront_core::ids::{Fence, NodeId, TxnId, draw_id};
 use trackfront_core::lease::{
-    LeaseAnnouncement, LeaseEvent, LeaseHolder, LeaseRow, LeaseTerms, ObservedLease,
+    LeaseAnnouncement, LeaseEvent, LeaseMachine, LeaseRow, LeaseTerms, ObservedLease,
     takeover_on_announcement,
 };
 use trackfront_core::ports::table::commit_settled;
@@ -79,7 +79,7 @@
     node: Arc<ServingNode>,
     me: NodeId,
     key: RowKey,
-    machine: StateMachine<LeaseHolder>,
+    machine: StateMachine<LeaseMachine>,
     observed: Option<ObservedLease>,
     last_read_at: Option<Moment>,
     vacant_since: Option<Moment>,
@@ -101,7 +101,7 @@
             node,
             me,
             key: RowKey(LEASE_ROW_KEY.into()),
-            machine: LeaseHolder::new(LEASE_TTL).state_machine(),
+            machine: LeaseMachine::new(LEASE_TTL).state_machine(),
             observed: None,
             last_read_at: None,
             vacant_since: None,
--- a/trackfrontd/src/shards/lease.rs
+++ b/trackfrontd/src/shards/lease.rs
@@ -9,7 +9,7 @@
 use trackfront_core::audit::AuditEvent;
 use trackfront_core::ids::{Fence, ShardId, TxnId};
 use trackfront_core::lease::{
-    LeaseEvent, LeaseHolder, LeaseRow, LeaseState, ObservedLease, takeover,
+    LeaseEvent, LeaseMachine, LeaseRow, LeaseState, ObservedLease, takeover,
 };
 use trackfront_core::members::rank;
 use trackfront_core::ports::table::commit_settled;
@@ -38,7 +38,7 @@
     shared: Arc<Shared>,
     shard: ShardId,
     key: RowKey,
-    machine: StateMachine<LeaseHolder>,
+    machine: StateMachine<LeaseMachine>,
     seen: Option<ObservedLease>,
     vacant_since: Option<Moment>,
     written_at: Moment,
@@ -52,7 +52,7 @@
             shared,
             shard,
             key: RowKey(key),
-            machine: LeaseHolder::new(LEASE_TTL).state_machine(),
+            machine: LeaseMachine::new(LEASE_TTL).state_machine(),
             seen: None,
             vacant_since: None,
             written_at: Moment::default(),
