--- a/trackfront_core/src/serving/notices.rs
+++ b/trackfront_core/src/serving/notices.rs
@@ -1,9 +1,9 @@
-//! What servers say of themselves in their answers: that they leave, how many requests a second they take from all
-//! boxes together, and for how long they want none from this one.
+//! Notices that servers send with their answers: that they leave, how many requests a second they accept from all boxes
+//! together, and for how long this box should back off.
 //!
-//! A notice is about one run of a server, and newer than its row, which comes by the platform's table and may be late by
-//! as long as that is away. So a row never undoes a notice. That a limit is over is said by no word, only by an answer
-//! without one; such an answer counts only if its request was sent after the limit was last named, since answers may
+//! A notice is about one incarnation of a server, and newer than its row, which comes through the platform's table and
+//! is late by any outage of that. So a row never overrides a notice. A server ends a limit by no longer naming it in its
+//! answers. Such an answer counts only if its request was sent after the limit was last named, since answers may
 //! overtake each other.
 
 use std::collections::HashMap;
@@ -13,69 +13,69 @@
 use crate::serving::permits::Permit;
 use crate::units::Moment;
 
-/// How long notices of a server are kept that is not listed: its row may lapse and come back.
-const KEPT_FOR: Duration = Duration::from_secs(120);
+/// How long notices of an unlisted server are kept: its row may expire and be written again.
+const UNLISTED_TTL: Duration = Duration::from_secs(120);
 
-/// The limit that an answer names.
+/// The limit that a server names in an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum NamedLimit {
-    /// It names none.
+    /// No limit.
     #[default]
     Absent,
-    /// It names one that cannot be read, which says neither what it is nor that there is none.
+    /// A limit that cannot be parsed: neither a new limit nor the end of the previous one.
     Unreadable,
-    /// Requests a second from all boxes together.
+    /// The most requests a second from all boxes together.
     PerSecond(f64),
 }
 
-/// What one answer says of its server.
+/// The notices in one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Notice {
-    /// Whether the server says that it leaves.
+    /// Whether the server leaves.
     pub leaves: bool,
     /// The limit that it names.
     pub limit: NamedLimit,
-    /// For how long it wants no requests from this box.
+    /// For how long this box should send it no requests.
     pub back_off: Option<Duration>,
 }
 
-/// The answer that a notice came with.
+/// The answer that a notice arrived with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoticeSource {
-    /// When its request was sent, or earlier.
+    /// When its request was sent, or an earlier moment.
     pub sent: Moment,
-    /// Whether it is a whole answer to that request, so that what it does not name is not so.
+    /// Whether it is a genuine answer to that request, so that an absent limit means that there is none.
     pub is_answer: bool,
 }
 
-/// What a notice has changed.
+/// A change of what is known of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NoticeChange {
     /// The server leaves.
     Leaves,
-    /// It has this limit, in requests a second.
+    /// The server has a new limit, in requests a second.
     Limited(f64),
-    /// Its limit is over.
+    /// The server's limit has ended.
     Unlimited,
-    /// It wants no requests from this box for so long, and wanted some before.
+    /// The server, which accepted requests before, wants none from this box for this time.
     BacksOff(Duration),
 }
 
-/// The limit of a server as it was last named, or that it has none any more.
+/// The limit of a server as it last named it, or the end of that limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KnownLimit {
-    /// Requests a second; `None` once it is over.
+    /// Requests a second; `None` once the limit has ended.
     pub per_s: Option<f64>,
-    /// When that was last said.
+    /// When the server last stated this.
     pub at: Moment,
-    /// Since when it has been so.
+    /// When the server first stated this.
     pub since: Moment,
 }
 
-/// What servers have said, as one box knows it.
+/// Tracks the notices of servers that one box knows.
 #[derive(Debug, Default)]
 pub struct NoticeTracker {
-    /// Since when this box has known that a server leaves.
+    /// When this box learned that a server leaves.
     leaving: HashMap<BackendId, Moment>,
     limits: HashMap<BackendId, KnownLimit>,
     /// Until when a server wants no requests.
@@ -83,7 +83,7 @@
 }
 
 impl NoticeTracker {
-    /// Takes in what an answer says. Returns what that has changed.
+    /// Applies the notices of an answer. Returns the changes.
     pub fn apply(
         &mut self,
         server: &BackendId,
@@ -91,18 +91,18 @@
         source: NoticeSource,
         now: Moment,
     ) -> Vec<NoticeChange> {
-        let mut learned = Vec::new();
+        let mut changes = Vec::new();
         if notice.leaves {
-            learned.extend(self.mark_leaving(server, now));
+            changes.extend(self.mark_leaving(server, now));
         }
         match notice.limit {
             NamedLimit::PerSecond(per_s) => {
-                learned.extend(self.apply_limit(server, Some(per_s), now))
+                changes.extend(self.apply_limit(server, Some(per_s), now))
             }
             NamedLimit::Absent if source.is_answer => {
-                let named = self.limits.get(server).filter(|word| word.per_s.is_some());
-                if named.is_some_and(|word| word.at < source.sent) {
-                    learned.extend(self.apply_limit(server, None, now));
+                let named = self.limits.get(server).filter(|limit| limit.per_s.is_some());
+                if named.is_some_and(|limit| limit.at < source.sent) {
+                    changes.extend(self.apply_limit(server, None, now));
                 }
             }
             NamedLimit::Absent | NamedLimit::Unreadable => {}
@@ -110,23 +110,23 @@
         if let Some(wait) = notice.back_off {
             let until = self.back_off.entry(server.clone()).or_default();
             if *until <= now {
-                learned.push(NoticeChange::BacksOff(wait));
+                changes.push(NoticeChange::BacksOff(wait));
             }
-            // Each answer asks for its own time; a later, shorter one takes nothing back.
+            // Each answer has its own time; a later, shorter one does not end an earlier one.
             *until = (*until).max(now + wait);
         }
-        learned
+        changes
     }
 
-    /// Takes in that a server leaves, by its own or another box's word. Returns whether that is news.
+    /// Records that a server leaves, reported by itself or by another box. Returns the change, if it is new.
     pub fn mark_leaving(&mut self, server: &BackendId, now: Moment) -> Option<NoticeChange> {
         let is_news = !self.leaving.contains_key(server);
         self.leaving.entry(server.clone()).or_insert(now);
         is_news.then_some(NoticeChange::Leaves)
     }
 
-    /// Takes in a limit, or that it is over, as said at `at`. A later word goes before an earlier one. Returns what
-    /// has changed.
+    /// Applies a limit, or with `None` its end, that the server stated at `at`. The latest statement holds. Returns the
+    /// change.
     pub fn apply_limit(
         &mut self,
         server: &BackendId,
@@ -143,12 +143,12 @@
         (!is_same).then_some(per_s.map_or(NoticeChange::Unlimited, NoticeChange::Limited))
     }
 
-    /// Returns since when this box has known that a server leaves, if it said so.
+    /// Returns when this box learned that a server leaves.
     pub fn leaving_since(&self, server: &BackendId) -> Option<Moment> {
         self.leaving.get(server).copied()
     }
 
-    /// Returns the last word on a server's limit.
+    /// Returns the last statement on a server's limit, which may be its end.
     pub fn known_limit(&self, server: &BackendId) -> Option<KnownLimit> {
         self.limits.get(server).copied()
     }
@@ -158,17 +158,17 @@
         self.limits.get(server)?.per_s
     }
 
-    /// Returns until when a server wants no requests from this box, if that is not over.
+    /// Returns until when a server wants no requests from this box, if that moment is still to come.
     pub fn backoff_until(&self, server: &BackendId, now: Moment) -> Option<Moment> {
         self.back_off.get(server).copied().filter(|until| now < *until)
     }
 
-    /// Returns whether a server may be sent something now, with a turn there if one was taken: to be looked at last
-    /// before a send, since a connection may have been opened or a turn waited for meanwhile.
-    pub fn admits(&self, server: &BackendId, turn: Option<Permit>, now: Moment) -> bool {
-        let has_turn = || turn.is_some_and(|turn| turn.is_usable(now));
+    /// Returns whether a server may get a request now, with a permit if one was issued. Call this last before a send,
+    /// since opening a connection or waiting for a permit takes time.
+    pub fn admits(&self, server: &BackendId, permit: Option<Permit>, now: Moment) -> bool {
+        let has_permit = || permit.is_some_and(|permit| permit.is_usable(now));
         let backs_off = self.backoff_until(server, now).is_some();
-        !backs_off && (self.limit_per_s(server).is_none() || has_turn())
+        !backs_off && (self.limit_per_s(server).is_none() || has_permit())
     }
 
     /// Returns the servers that leave.
@@ -176,25 +176,25 @@
         self.leaving.keys()
     }
 
-    /// Returns the servers that have a limit, with its last word.
+    /// Returns the servers that have a limit.
     pub fn limits(&self) -> impl Iterator<Item = (&BackendId, KnownLimit)> {
-        let limited = self.limits.iter().filter(|(_, word)| word.per_s.is_some());
-        limited.map(|(server, word)| (server, *word))
+        let limited = self.limits.iter().filter(|(_, limit)| limit.per_s.is_some());
+        limited.map(|(server, limit)| (server, *limit))
     }
 
-    /// Returns how many servers want no requests from this box now.
+    /// Returns the number of servers that want no requests from this box now.
     pub fn backing_off_count(&self, now: Moment) -> usize {
         self.back_off.values().filter(|until| now < **until).count()
     }
 
-    /// Forgets what is over, and servers that have not been listed for long.
+    /// Drops expired notices, and notices of servers that have been unlisted for long.
     pub fn forget_old(&mut self, is_listed: impl Fn(&BackendId) -> bool, now: Moment) {
         let is_kept =
-            |server: &BackendId, at: Moment| is_listed(server) || now.since(at) < KEPT_FOR;
+            |server: &BackendId, at: Moment| is_listed(server) || now.since(at) < UNLISTED_TTL;
         self.leaving.retain(|server, since| is_kept(server, *since));
-        self.limits.retain(|server, word| {
-            let is_over = word.per_s.is_none() && now.since(word.at) >= KEPT_FOR;
-            !is_over && is_kept(server, word.at)
+        self.limits.retain(|server, limit| {
+            let is_over = limit.per_s.is_none() && now.since(limit.at) >= UNLISTED_TTL;
+            !is_over && is_kept(server, limit.at)
         });
         self.back_off.retain(|_, until| now < *until);
     }
--- a/trackfront_core/tests/serving/notices.rs
+++ b/trackfront_core/tests/serving/notices.rs
@@ -1,4 +1,4 @@
-//! What one box makes of what servers say in their answers.
+//! Notices in servers' answers, as one box tracks them.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     "s@1".into()
 }
 
-/// A whole answer to a request that was sent at `ms`.
+/// The source of a notice in a genuine answer to a request that was sent at `ms`.
 fn answer(ms: u64) -> NoticeSource {
     NoticeSource { sent: at(ms), is_answer: true }
 }
@@ -24,89 +24,111 @@
 }
 
 #[test]
-fn a_limit_ends_with_an_answer_to_a_request_that_was_sent_after_it_was_named() {
-    let mut book = NoticeTracker::default();
+fn limit_ends_with_answer_to_request_sent_after_it_was_named() {
+    let mut tracker = NoticeTracker::default();
     let limited = names(NamedLimit::PerSecond(2.0));
-    assert_eq!(book.apply(&server(), &limited, answer(0), at(100)), [NoticeChange::Limited(2.0)]);
-    assert_eq!(book.apply(&server(), &limited, answer(50), at(110)), [], "the same is no news");
+    assert_eq!(
+        tracker.apply(&server(), &limited, answer(0), at(100)),
+        [NoticeChange::Limited(2.0)]
+    );
+    assert_eq!(
+        tracker.apply(&server(), &limited, answer(50), at(110)),
+        [],
+        "an unchanged limit is no change"
+    );
     let without = names(NamedLimit::Absent);
-    assert_eq!(book.apply(&server(), &without, answer(60), at(120)), [], "it may be the older one");
+    assert_eq!(
+        tracker.apply(&server(), &without, answer(60), at(120)),
+        [],
+        "the answer may be older than the limit"
+    );
     let refusal = NoticeSource { sent: at(130), is_answer: false };
-    assert_eq!(book.apply(&server(), &without, refusal, at(140)), [], "refusals may name nothing");
-    assert_eq!(book.limit_per_s(&server()), Some(2.0));
-    assert_eq!(book.apply(&server(), &without, answer(130), at(150)), [NoticeChange::Unlimited]);
-    assert_eq!(book.limit_per_s(&server()), None);
-    assert_eq!(book.apply(&server(), &without, answer(160), at(170)), [], "told once");
+    assert_eq!(
+        tracker.apply(&server(), &without, refusal, at(140)),
+        [],
+        "a refusal may omit the limit"
+    );
+    assert_eq!(tracker.limit_per_s(&server()), Some(2.0));
+    assert_eq!(tracker.apply(&server(), &without, answer(130), at(150)), [NoticeChange::Unlimited]);
+    assert_eq!(tracker.limit_per_s(&server()), None);
+    assert_eq!(tracker.apply(&server(), &without, answer(160), at(170)), [], "reported once");
 }
 
-/// Guards against a turn that is used although it has lapsed, has not come yet, or the server has asked for rest since.
+/// A permit must not be used before it is valid, after it has expired, or once the server asked for a backoff.
 #[test]
-fn a_turn_lets_in_when_it_has_come_until_it_lapses_or_the_server_asks_for_rest() {
-    let mut book = NoticeTracker::default();
-    let turn = Some(Permit { from: at(1_000) });
-    assert!(book.admits(&server(), None, at(0)), "without a limit no turn is needed");
-    book.apply(&server(), &names(NamedLimit::PerSecond(2.0)), answer(0), at(100));
-    assert!(!book.admits(&server(), None, at(1_000)));
-    assert!(!book.admits(&server(), turn, at(999)), "not yet");
-    assert!(book.admits(&server(), turn, at(1_000)));
-    assert!(!book.admits(&server(), turn, at(1_400)), "lapsed");
-    let rest = Notice { back_off: Some(Duration::from_secs(3)), ..Notice::default() };
+fn permit_admits_only_while_valid_and_without_backoff() {
+    let mut tracker = NoticeTracker::default();
+    let permit = Some(Permit { from: at(1_000) });
+    assert!(tracker.admits(&server(), None, at(0)), "no permit is needed without a limit");
+    tracker.apply(&server(), &names(NamedLimit::PerSecond(2.0)), answer(0), at(100));
+    assert!(!tracker.admits(&server(), None, at(1_000)));
+    assert!(!tracker.admits(&server(), permit, at(999)), "not yet");
+    assert!(tracker.admits(&server(), permit, at(1_000)));
+    assert!(!tracker.admits(&server(), permit, at(1_400)), "expired");
+    let backoff = Notice { back_off: Some(Duration::from_secs(3)), ..Notice::default() };
     let refusal = NoticeSource { sent: at(1_000), is_answer: false };
-    book.apply(&server(), &rest, refusal, at(1_050));
-    assert!(!book.admits(&server(), turn, at(1_100)), "asked for rest meanwhile");
+    tracker.apply(&server(), &backoff, refusal, at(1_050));
+    assert!(
+        !tracker.admits(&server(), permit, at(1_100)),
+        "the server asked for a backoff meanwhile"
+    );
 }
 
 #[test]
-fn a_limit_that_cannot_be_read_changes_nothing() {
-    let mut book = NoticeTracker::default();
+fn unreadable_limit_changes_nothing() {
+    let mut tracker = NoticeTracker::default();
     let unreadable = names(NamedLimit::Unreadable);
-    assert_eq!(book.apply(&server(), &unreadable, answer(0), at(10)), []);
-    assert_eq!(book.limit_per_s(&server()), None);
-    book.apply(&server(), &names(NamedLimit::PerSecond(1.0)), answer(0), at(20));
-    assert_eq!(book.apply(&server(), &unreadable, answer(30), at(40)), []);
-    assert_eq!(book.limit_per_s(&server()), Some(1.0));
+    assert_eq!(tracker.apply(&server(), &unreadable, answer(0), at(10)), []);
+    assert_eq!(tracker.limit_per_s(&server()), None);
+    tracker.apply(&server(), &names(NamedLimit::PerSecond(1.0)), answer(0), at(20));
+    assert_eq!(tracker.apply(&server(), &unreadable, answer(30), at(40)), []);
+    assert_eq!(tracker.limit_per_s(&server()), Some(1.0));
 }
 
 #[test]
-fn of_two_words_on_a_limit_the_later_holds_in_whatever_order_they_come() {
-    let words = [(Some(4.0), 100), (Some(1.0), 200), (None, 300)];
+fn latest_limit_statement_holds_in_any_order() {
+    let statements = [(Some(4.0), 100), (Some(1.0), 200), (None, 300)];
     for order in [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]] {
-        let mut book = NoticeTracker::default();
-        for (per_s, ms) in order.map(|index: usize| words[index]) {
-            book.apply_limit(&server(), per_s, at(ms));
+        let mut tracker = NoticeTracker::default();
+        for (per_s, ms) in order.map(|index: usize| statements[index]) {
+            tracker.apply_limit(&server(), per_s, at(ms));
         }
-        assert_eq!(book.limit_per_s(&server()), None, "{order:?}");
-        book.apply_limit(&server(), Some(1.0), at(250));
+        assert_eq!(tracker.limit_per_s(&server()), None, "{order:?}");
+        tracker.apply_limit(&server(), Some(1.0), at(250));
         assert_eq!(
-            book.limit_per_s(&server()),
+            tracker.limit_per_s(&server()),
             None,
-            "{order:?}: what is over is not brought back"
+            "{order:?}: an ended limit does not return"
         );
     }
 }
 
 #[test]
-fn a_server_that_leaves_does_so_for_good() {
-    let mut book = NoticeTracker::default();
+fn leaving_notice_is_permanent() {
+    let mut tracker = NoticeTracker::default();
     let leaves = Notice { leaves: true, ..Notice::default() };
-    assert_eq!(book.apply(&server(), &leaves, answer(0), at(100)), [NoticeChange::Leaves]);
-    assert_eq!(book.apply(&server(), &leaves, answer(0), at(200)), []);
-    assert_eq!(book.apply(&server(), &Notice::default(), answer(300), at(310)), []);
-    assert_eq!(book.leaving_since(&server()), Some(at(100)));
-    assert_eq!(book.leaving_since(&"s@2".into()), None, "its next run does not");
-    book.forget_old(|_| false, at(60_000));
-    assert_eq!(book.leaving_since(&server()), Some(at(100)), "its row may have lapsed");
-    book.forget_old(|_| false, at(200_000));
-    assert_eq!(book.leaving_since(&server()), None);
+    assert_eq!(tracker.apply(&server(), &leaves, answer(0), at(100)), [NoticeChange::Leaves]);
+    assert_eq!(tracker.apply(&server(), &leaves, answer(0), at(200)), []);
+    assert_eq!(tracker.apply(&server(), &Notice::default(), answer(300), at(310)), []);
+    assert_eq!(tracker.leaving_since(&server()), Some(at(100)));
+    assert_eq!(tracker.leaving_since(&"s@2".into()), None, "its next incarnation does not leave");
+    tracker.forget_old(|_| false, at(60_000));
+    assert_eq!(
+        tracker.leaving_since(&server()),
+        Some(at(100)),
+        "its row may have expired for a while"
+    );
+    tracker.forget_old(|_| false, at(200_000));
+    assert_eq!(tracker.leaving_since(&server()), None);
 }
 
 #[test]
-fn the_longest_time_that_a_server_asked_for_holds() {
-    let mut book = NoticeTracker::default();
+fn longest_requested_backoff_holds() {
+    let mut tracker = NoticeTracker::default();
     let wants = |ms| Notice { back_off: Some(Duration::from_millis(ms)), ..Notice::default() };
-    let learned = book.apply(&server(), &wants(3_000), answer(0), at(1_000));
-    assert_eq!(learned, [NoticeChange::BacksOff(Duration::from_millis(3_000))]);
-    assert_eq!(book.apply(&server(), &wants(500), answer(0), at(1_100)), []);
-    assert_eq!(book.backoff_until(&server(), at(3_999)), Some(at(4_000)));
-    assert_eq!(book.backoff_until(&server(), at(4_000)), None);
+    let changes = tracker.apply(&server(), &wants(3_000), answer(0), at(1_000));
+    assert_eq!(changes, [NoticeChange::BacksOff(Duration::from_millis(3_000))]);
+    assert_eq!(tracker.apply(&server(), &wants(500), answer(0), at(1_100)), []);
+    assert_eq!(tracker.backoff_until(&server(), at(3_999)), Some(at(4_000)));
+    assert_eq!(tracker.backoff_until(&server(), at(4_000)), None);
 }
--- a/trackfront_core/tests/serving/permits.rs
+++ b/trackfront_core/tests/serving/permits.rs
@@ -113,7 +113,7 @@
         let (book, now) = (&mut self.books[one], at(now_ms));
         let until = now + self.start.lasts;
         book.state(&server(), self.start, self.terms, until, now) == ColdState::Admitting
-            && book.take(&server(), self.start, self.terms, now)
+            && book.try_take(&server(), self.start, self.terms, now)
     }
 
     fn step(&mut self, _: u64) -> usize {
--- a/trackfrontd/src/serving/cold.rs
+++ b/trackfrontd/src/serving/cold.rs
@@ -76,7 +76,9 @@
     let mut tracker = node.cold.lock();
     let view = ColdView { start, terms, tracker: &tracker, evacuations: &evacuations };
     match (view.state(server, now), start) {
-        (ColdState::Admitting, Some(start)) => tracker.take(&server.entry.id, start, terms, now),
+        (ColdState::Admitting, Some(start)) => {
+            tracker.try_take(&server.entry.id, start, terms, now)
+        }
         (state, _) => state == ColdState::Warm,
     }
 }
