--- a/trackfrontd/src/serving/follow/config.rs
+++ b/trackfrontd/src/serving/follow/config.rs
@@ -1,4 +1,4 @@
-//! Follows what the operator writes: the configuration, and the halls that are emptied.
+//! Follows the rows that the operator writes: the configuration and the evacuated halls.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use trackfront_core::serving::halls::HallStatus;
 
 use super::Source;
-use super::feed_client::{FIRST_PAUSE, FeedClient};
+use super::feed_client::{FIRST_RETRY_DELAY, FeedClient};
 use crate::serving::boxes;
 use crate::serving::exchange;
 use crate::serving::feed_relay::{FeedKind, hall_peers, relay_operator_rows};
@@ -17,44 +17,44 @@
 use crate::serving::peer_socket::PeerSocket;
 use crate::serving::quota;
 
-/// How long a box that reads for itself alone waits after a change of the configuration, so that
-/// of some in quick succession it reads the last.
-const GATHER: Duration = Duration::from_millis(250);
+/// The delay of a box that is no feed reader after a change of the configuration, so that it reads only the last of
+/// several changes in quick succession.
+const GATHER_DELAY: Duration = Duration::from_millis(250);
 
-/// How much later than the one before it each box of a hall asks for a copy, so that they do not all
-/// ask at once: sixty boxes take 0.3 s of the 2 to 4 s in which a change has to be in force.
-const ASK_STEP: Duration = Duration::from_millis(5);
+/// The stagger between the snapshot requests of a hall's boxes: with sixty boxes they spread over 0.3 s of the 2 to 4 s
+/// in which a change has to be in force.
+const REQUEST_STAGGER: Duration = Duration::from_millis(5);
 
-/// Follows the configuration for as long as the box lives.
+/// Follows the operator's rows for as long as the node runs.
 pub async fn follow_config(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
-    let mut link = FeedClient::new(node.clone(), FeedKind::Config);
+    let mut client = FeedClient::new(node.clone(), FeedKind::Config);
     boxes::wait_for_box_list(&node).await;
     loop {
         let known = node.config_row();
-        let read = match take_copy(&node, &link).await {
-            true => Read { version: node.config_row(), halls_are_news: false },
+        let position = match fetch_snapshot(&node, &client).await {
+            true => Position { version: node.config_row(), has_hall_changes: false },
             false if node.config.load().is_none() && boxes::wait_for_snapshot(&node).await => {
                 continue;
             }
-            false => match read(&node, &mut link).await {
-                Some(read) => read,
+            false => match read_rows(&node, &mut client).await {
+                Some(position) => position,
                 None => continue,
             },
         };
-        relay_operator_rows(&node, &socket, node.config_row(), read.halls_are_news).await;
+        relay_operator_rows(&node, &socket, node.config_row(), position.has_hall_changes).await;
         if node.feed_state.lock().config_row() > node.config_row() && node.config_row() == known {
-            // The platform's answer is older than what the reader of the hall has seen.
-            sleep(GATHER).await;
+            // The platform's answer is older than what the hall's feed reader has seen.
+            sleep(GATHER_DELAY).await;
         }
-        follow_from(&node, &socket, &mut link, read.version).await;
+        follow_feed(&node, &socket, &mut client, position.version).await;
     }
 }
 
-/// Takes the configuration of another box if it is newer. Returns whether it is.
-async fn take_copy(node: &Arc<ServingNode>, link: &FeedClient) -> bool {
+/// Fetches the configuration of another box. Returns whether that was newer than this box's.
+async fn fetch_snapshot(node: &Arc<ServingNode>, client: &FeedClient) -> bool {
     let known = node.config_row();
-    let told_by = node.feed_state.lock().config_source();
-    let mut sources = link.sources(told_by);
+    let notifier = node.feed_state.lock().config_source();
+    let mut sources = client.sources(notifier);
     if sources.is_empty() && known == 0 {
         sources = boxes::likely_up(node);
     }
@@ -62,119 +62,120 @@
         return false;
     }
     if known > 0 {
-        sleep(ASK_STEP * hall_peers(node).rank as u32).await;
+        sleep(REQUEST_STAGGER * hall_peers(node).rank as u32).await;
     }
     let Some(stored) = exchange::fetch_config(node, &sources, known).await else {
         return false;
     };
-    take(node, stored);
-    // Where one box has it, others were told of it.
+    apply(node, stored);
+    // The hall was notified of this row already, since another box has it.
     node.feed_state.lock().record_config_row(node.config_row(), None);
     node.config_row() > known
 }
 
-/// What a reading from the platform, or a copy, brought.
-struct Read {
-    /// The version from which to follow.
+/// The result of reading the operator's rows or of fetching a snapshot.
+struct Position {
+    /// The version from which to follow the feed.
     version: u64,
-    /// Whether halls are used differently from now on.
-    halls_are_news: bool,
+    /// Whether a hall was evacuated or returned to use.
+    has_hall_changes: bool,
 }
 
-/// Reads what the operator wrote from the platform.
-async fn read(node: &Arc<ServingNode>, link: &mut FeedClient) -> Option<Read> {
-    link.count("read_config");
+/// Reads the operator's rows from the platform.
+async fn read_rows(node: &Arc<ServingNode>, client: &mut FeedClient) -> Option<Position> {
+    client.count("read_config");
     let asked_at = node.now();
     match node.ports.knowledge.read_operator().await {
         Ok(Listing { rows, version }) => {
-            link.works();
+            client.record_success();
             let mut halls = Vec::new();
-            for (_, word) in rows {
-                match word {
-                    OperatorWord::Hall(word) => halls.push(word),
+            for (_, row) in rows {
+                match row {
+                    OperatorWord::Hall(status) => halls.push(status),
                     OperatorWord::Config(stored) => {
                         let row = stored.row_version;
-                        take(node, stored);
+                        apply(node, stored);
                         node.config_freshness.confirm(row, asked_at);
                     }
                 }
             }
-            let words = node.evacuations.lock().statuses_from_listing(halls, version);
-            let halls_are_news = apply_hall_statuses(node, &words, Source::Platform);
-            Some(Read { version, halls_are_news })
+            let statuses = node.evacuations.lock().statuses_from_listing(halls, version);
+            let has_hall_changes = apply_hall_statuses(node, &statuses, Source::Platform);
+            Some(Position { version, has_hall_changes })
         }
         Err(error) => {
-            link.failed(&error).await;
+            client.back_off(&error).await;
             None
         }
     }
 }
 
 /// Follows the feed until everything has to be read again.
-async fn follow_from(
+async fn follow_feed(
     node: &Arc<ServingNode>,
     socket: &PeerSocket,
-    link: &mut FeedClient,
+    client: &mut FeedClient,
     mut version: u64,
 ) {
-    while !link.must_reread() {
+    while !client.must_reread() {
         let known = node.config_row();
         let is_behind = || node.feed_state.lock().config_row() > known;
-        link.wait_for_reader(is_behind).await;
-        if is_behind() || link.woke() {
-            // The row itself is read: this box's place in the feed is old, perhaps forgotten.
+        client.wait_for_reader(is_behind).await;
+        if is_behind() || client.take_suspension() {
+            // Read the row itself, since this box's position in the feed is old and may be gone from its history.
             return;
         }
-        link.count("follow_config");
-        let call = node.ports.knowledge.follow_operator(version, link.feed_wait());
-        let Some(answer) = link.unless_suspended(call).await else {
+        client.count("follow_config");
+        let call = node.ports.knowledge.follow_operator(version, client.feed_wait());
+        let Some(answer) = client.unless_suspended(call).await else {
             return;
         };
         match answer {
             Ok(Feed::Changes { changes, version: reached }) => {
-                link.works();
-                let some = !changes.is_empty();
-                let mut halls_are_news = false;
-                for word in changes {
-                    match word {
-                        OperatorWord::Config(stored) => take(node, stored),
-                        OperatorWord::Hall(word) => {
-                            halls_are_news |= apply_hall_statuses(node, &[word], Source::Platform);
+                client.record_success();
+                let has_changes = !changes.is_empty();
+                let mut has_hall_changes = false;
+                for row in changes {
+                    match row {
+                        OperatorWord::Config(stored) => apply(node, stored),
+                        OperatorWord::Hall(status) => {
+                            has_hall_changes |=
+                                apply_hall_statuses(node, &[status], Source::Platform);
                         }
                     }
                 }
                 version = version.max(reached);
-                relay_operator_rows(node, socket, node.config_row(), halls_are_news).await;
-                if some && !link.is_reader() {
-                    sleep(GATHER).await;
+                relay_operator_rows(node, socket, node.config_row(), has_hall_changes).await;
+                if has_changes && !client.is_reader() {
+                    sleep(GATHER_DELAY).await;
                 }
             }
             Ok(Feed::HistoryGone) => {
-                // As for the servers, this is no word on the configuration.
-                log::info!(table = "configuration", after = version; "history gone, reading anew");
-                sleep(FIRST_PAUSE).await;
+                // As with the servers, nothing is relayed: this says nothing about the configuration.
+                log::info!(table = "configuration", after = version; "feed history gone, reading everything again");
+                sleep(FIRST_RETRY_DELAY).await;
                 return;
             }
-            Err(error) => link.failed(&error).await,
+            Err(error) => client.back_off(&error).await,
         }
     }
-    link.forgive();
+    client.reset_failures();
 }
 
-/// Takes in what the operator said of halls. Returns whether one is used differently from now on.
-pub fn apply_hall_statuses(node: &ServingNode, words: &[HallStatus], source: Source) -> bool {
+/// Applies the operator's statuses of halls. Returns whether a hall was evacuated or returned to use.
+pub fn apply_hall_statuses(node: &ServingNode, statuses: &[HallStatus], source: Source) -> bool {
     let now = node.now();
     let mut evacuations = node.evacuations.lock();
     let changed: Vec<&HallStatus> =
-        words.iter().filter(|word| evacuations.apply(word, now)).collect();
+        statuses.iter().filter(|status| evacuations.apply(status, now)).collect();
     node.metrics.evacuated_halls.set(evacuations.count() as i64);
     drop(evacuations);
-    for word in &changed {
-        let (hall, version) = (&word.hall, word.version);
+    for status in &changed {
+        let (hall, version) = (&status.hall, status.version);
         let by = source.name();
-        match word.is_evacuated {
+        match status.is_evacuated {
             true => log::info!(hall:%, version, by; "hall evacuated"),
-            false => log::info!(hall:%, version, by; "hall used again"),
+            false => log::info!(hall:%, version, by; "hall returned to use"),
         }
     }
     if !changed.is_empty() {
@@ -183,8 +184,8 @@
     !changed.is_empty()
 }
 
-/// Puts a stored configuration in force if it is newer than the one in force and valid.
-fn take(node: &Arc<ServingNode>, stored: StoredConfig) {
+/// Puts a stored configuration in force if it is valid and newer than the one in force.
+fn apply(node: &Arc<ServingNode>, stored: StoredConfig) {
     if stored.row_version <= node.config_row() {
         return;
     }
--- a/trackfrontd/src/serving/follow/feed_client.rs
+++ b/trackfrontd/src/serving/follow/feed_client.rs
@@ -1,5 +1,5 @@
-//! Calls to the platform: who makes them, the pauses after failed ones, and the log of a dependency
-//! that is lost and comes back.
+//! Calls to the platform for one feed: which boxes make them, the delays after failed calls, and the log of a dependency
+//! that is lost and regained.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -16,57 +16,56 @@
 use crate::serving::node::ServingNode;
 use crate::serving::suspension::Suspension;
 
-/// How long one wait for changes lasts where no other box depends on it. The box hears at least
-/// this often that the platform is there, so it bounds how long a lost connection goes unnoticed.
+/// The duration of a long poll on which no other box depends. The platform answers at least this often, so it bounds how
+/// long a lost connection goes unnoticed.
 const FEED_WAIT: Duration = Duration::from_millis(2_000);
 
-/// How long one wait lasts at a reader for its hall, as a part of the time within which a draining
-/// server has to be known: others take its silence for its loss.
-const READER_WAIT_PART: f64 = 0.45;
+/// The duration of a feed reader's long poll as a fraction of the drain time. Its hall takes the reader for lost if it is
+/// silent for longer.
+const READER_WAIT_FRACTION: f64 = 0.45;
 
-/// The part of the time left until the others take a reader for lost that its wait may last.
-const LEFT_PART: f64 = 0.7;
+/// The longest long poll of a feed reader as a fraction of the time left until its hall takes it for lost.
+const REMAINING_WAIT_FRACTION: f64 = 0.7;
 
-/// The least of these waits, however little a deployment promises.
-const LEAST_WAIT: Duration = Duration::from_millis(100);
+/// The shortest of these waits, however short the drain time of a deployment is.
+const MIN_WAIT: Duration = Duration::from_millis(100);
 
-/// How often a box that a reader reads for looks whether that is still so.
-const LOOK_EVERY: Duration = Duration::from_millis(150);
+/// The interval at which a box that is no feed reader checks whether it has to become one.
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The first pause after a failed call.
-pub const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// The first delay after a failed call.
+pub const FIRST_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The longest pause after failed calls: well within the time in which changes have to be known.
-const MAX_PAUSE: Duration = Duration::from_millis(500);
+/// The longest delay after a failed call, well within the time in which changes have to be known.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The first pause after failed calls at a box that is no reader: it hears from the reader of its
-/// hall when the platform is back.
-const FIRST_MATE_PAUSE: Duration = Duration::from_millis(750);
+/// The first delay after a failed call of a box that is no feed reader. Its hall's reader notifies it when the platform is
+/// available again.
+const FIRST_NON_READER_DELAY: Duration = Duration::from_millis(750);
 
-/// The longest such pause, as a part of the time within which a draining server has to be known: the
-/// box may be cut off from the reader as well.
-const MATE_PAUSE_PART: f64 = 0.75;
+/// The longest such delay as a fraction of the drain time, since the box may be cut off from the reader as well.
+const NON_READER_DELAY_FRACTION: f64 = 0.75;
 
-/// After how many failed waits a reader reads everything again.
+/// The number of failed polls after which a feed reader reads everything again.
 const FAILURES_TO_REREAD: u32 = 3;
 
-/// The calls about one feed.
+/// Makes the calls for one feed.
 pub struct FeedClient {
     node: Arc<ServingNode>,
     kind: FeedKind,
     failures: u32,
     failing_since: Option<Moment>,
-    waking: Suspension,
+    suspension: Suspension,
 }
 
 impl FeedClient {
-    /// Makes one without failures.
+    /// Creates a client without failures.
     pub fn new(node: Arc<ServingNode>, kind: FeedKind) -> Self {
-        let waking = node.suspensions.subscribe();
-        Self { node, kind, failures: 0, failing_since: None, waking }
+        let suspension = node.suspensions.subscribe();
+        Self { node, kind, failures: 0, failing_since: None, suspension }
     }
 
-    /// The dependency's name in logs and metrics.
+    /// Returns the dependency's name in logs and metrics.
     fn name(&self) -> &'static str {
         match self.kind {
             FeedKind::Config => "store_config",
@@ -74,13 +73,13 @@
         }
     }
 
-    /// Counts a call.
+    /// Counts a call in the metrics.
     pub fn count(&self, call: &'static str) {
         self.node.metrics.store_calls.get_or_create(&KindLabel { kind: call }).inc();
     }
 
-    /// Notes that a call was answered.
-    pub fn works(&mut self) {
+    /// Records a successful call.
+    pub fn record_success(&mut self) {
         if self.failures > 0 {
             log::info!(dependency = self.name(), failures = self.failures; "dependency regained");
         }
@@ -93,8 +92,8 @@
         self.node.set_dependency(self.name(), true);
     }
 
-    /// Notes that a call failed, and waits until the next may be made.
-    pub async fn failed(&mut self, error: &TableError) {
+    /// Records a failed call and waits until the next one may be made.
+    pub async fn back_off(&mut self, error: &TableError) {
         if self.failures == 0 {
             log::warn!(dependency = self.name(), error:% = error; "dependency lost");
         }
@@ -102,29 +101,29 @@
         self.failing_since.get_or_insert(self.node.now());
         self.node.set_store_lost(true);
         self.node.set_dependency(self.name(), false);
-        let doubled = 2u32.pow(self.failures.min(4) - 1);
+        let factor = 2u32.pow(self.failures.min(4) - 1);
         if self.is_reader() {
-            sleep((FIRST_PAUSE * doubled).min(MAX_PAUSE)).await;
+            sleep((FIRST_RETRY_DELAY * factor).min(MAX_RETRY_DELAY)).await;
             return;
         }
-        let longest = self.part_of_drain(MATE_PAUSE_PART);
-        let came = self.node.feed_update_received.notified();
-        // Nothing is lost if the word does not come: the call is made again.
-        let _ = timeout((FIRST_MATE_PAUSE * doubled).min(longest), came).await;
+        let longest = self.drain_fraction(NON_READER_DELAY_FRACTION);
+        let update = self.node.feed_update_received.notified();
+        // Without an update the call is made again after the delay.
+        let _ = timeout((FIRST_NON_READER_DELAY * factor).min(longest), update).await;
     }
 
-    /// Returns whether this box reads for its hall.
+    /// Returns whether this box is the feed reader of its hall.
     pub fn is_reader(&self) -> bool {
         hall_peers(&self.node).is_reader()
     }
 
-    /// Returns the boxes that may have what this box lacks: the one that told of it, then the reader and another that
-    /// speaks for the hall.
-    pub fn sources(&self, told_by: Option<Ipv4Addr>) -> Vec<Ipv4Addr> {
-        let mut sources: Vec<Ipv4Addr> = told_by.into_iter().collect();
+    /// Returns the boxes that may have a snapshot for this one: the box that sent the notification, then the hall's feed
+    /// reader and another delegate.
+    pub fn sources(&self, notifier: Option<Ipv4Addr>) -> Vec<Ipv4Addr> {
+        let mut sources: Vec<Ipv4Addr> = notifier.into_iter().collect();
         let reader = hall_peers(&self.node).reader;
-        let speaker = self.node.peers.lock().random_local_delegate(&mut rand::rng());
-        for ip in reader.into_iter().chain(speaker) {
+        let delegate = self.node.peers.lock().random_local_delegate(&mut rand::rng());
+        for ip in reader.into_iter().chain(delegate) {
             if !sources.contains(&ip) {
                 sources.push(ip);
             }
@@ -132,47 +131,46 @@
         sources
     }
 
-    /// Returns whether everything is to be read again, beside the feed. What the reader of a hall
-    /// finds then, it relays.
+    /// Returns whether everything has to be read again instead of following the feed. A feed reader relays the result.
     pub fn must_reread(&self) -> bool {
         self.failures >= FAILURES_TO_REREAD && self.is_reader()
     }
 
-    /// Begins to count failures anew, from one: the dependency is still lost.
-    pub fn forgive(&mut self) {
+    /// Restarts the count of failures at one, since the dependency is still lost.
+    pub fn reset_failures(&mut self) {
         self.failures = 1;
     }
 
-    /// Awaits a wait for changes; `None` if the machine was suspended: all has to be asked for anew.
+    /// Awaits a long poll, or returns `None` if the machine was suspended meanwhile and everything has to be fetched again.
     pub async fn unless_suspended<T>(&mut self, call: impl Future<Output = T>) -> Option<T> {
-        self.waking.unless_suspended(call).await
+        self.suspension.unless_suspended(call).await
     }
 
-    /// Returns whether the machine was suspended since it was last asked.
-    pub fn woke(&mut self) -> bool {
-        let is_new = self.waking.is_pending();
-        self.waking.acknowledge();
-        is_new
+    /// Returns whether the machine was suspended since the last call of this method.
+    pub fn take_suspension(&mut self) -> bool {
+        let was_suspended = self.suspension.is_pending();
+        self.suspension.acknowledge();
+        was_suspended
     }
 
-    /// Waits while a reader of this hall reads the feed for this box. Returns at once if this
-    /// box has to read itself. `is_enough` says whether there is something to read after all.
-    pub async fn wait_for_reader(&self, is_enough: impl Fn() -> bool) {
+    /// Waits while another box follows the feed for this one. Returns at once if this box has to follow the feed itself, or
+    /// if `has_work` says that there is something to fetch.
+    pub async fn wait_for_reader(&self, has_work: impl Fn() -> bool) {
         loop {
-            let came = self.node.feed_update_received.notified();
-            let mates = hall_peers(&self.node);
-            let reads = self.must_read(&mates) && !self.node.is_discovering_peers();
-            if reads || is_enough() || self.waking.is_pending() {
+            let update = self.node.feed_update_received.notified();
+            let hall = hall_peers(&self.node);
+            let must_read = self.must_read(&hall) && !self.node.is_discovering_peers();
+            if must_read || has_work() || self.suspension.is_pending() {
                 return;
             }
-            // Looked at again in any case, so nothing is lost if no word comes.
-            let _ = timeout(LOOK_EVERY, came).await;
+            // The conditions are checked again with or without an update.
+            let _ = timeout(CHECK_INTERVAL, update).await;
         }
     }
 
-    fn must_read(&self, mates: &HallPeers) -> bool {
-        let wait = reader_timeout(self.drain()) + successor_delay(mates.rank, self.drain());
-        mates.is_reader() || self.silence().is_none_or(|silence| silence >= wait)
+    fn must_read(&self, hall: &HallPeers) -> bool {
+        let wait = reader_timeout(self.drain()) + successor_delay(hall.rank, self.drain());
+        hall.is_reader() || self.silence().is_none_or(|silence| silence >= wait)
     }
 
     fn silence(&self) -> Option<Duration> {
@@ -183,19 +181,20 @@
         self.node.settings.load().promises.drain()
     }
 
-    /// Returns a part of the time within which a draining server has to be known, but never so
-    /// little that waiting for the store becomes asking it without a pause.
-    pub fn part_of_drain(&self, part: f64) -> Duration {
-        self.drain().mul_f64(part).max(LEAST_WAIT)
+    /// Returns a fraction of the drain time, but never so little that the store would be polled without a pause.
+    pub fn drain_fraction(&self, fraction: f64) -> Duration {
+        self.drain().mul_f64(fraction).max(MIN_WAIT)
     }
 
-    /// How long this box waits for changes: as a reader for others, who must hear of it before they
-    /// take it for lost, or for itself only.
+    /// Returns the duration of the next long poll. If other boxes depend on this one, it ends before they take this box for
+    /// lost.
     pub fn feed_wait(&self) -> Duration {
         if hall_peers(&self.node).others.is_empty() {
             return FEED_WAIT;
         }
-        let left = reader_timeout(self.drain()).saturating_sub(self.silence().unwrap_or_default());
-        self.part_of_drain(READER_WAIT_PART).min(left.mul_f64(LEFT_PART)).max(LEAST_WAIT)
+        let remaining =
+            reader_timeout(self.drain()).saturating_sub(self.silence().unwrap_or_default());
+        let longest = remaining.mul_f64(REMAINING_WAIT_FRACTION);
+        self.drain_fraction(READER_WAIT_FRACTION).min(longest).max(MIN_WAIT)
     }
 }
--- a/trackfrontd/src/serving/follow/mod.rs
+++ b/trackfrontd/src/serving/follow/mod.rs
@@ -1,9 +1,9 @@
-//! Keeps the configuration and the servers up to date from the platform.
+//! Keeps the configuration and the server list up to date.
 //!
-//! One box of each hall follows the platform's feeds and relays what comes ([`super::feed_relay`]); the
-//! others fetch from boxes of their hall what they lack ([`super::exchange`]) and call the platform
-//! where none of them has it. When a feed's history is gone, or the platform was away, everything is
-//! read again. An answer that is older than what is known changes nothing.
+//! One box of each hall follows the platform's feeds and relays the changes ([`super::feed_relay`]). The others fetch
+//! snapshots of what they are missing from boxes of their hall ([`super::exchange`]), and call the platform only if none
+//! of them has it. When the history of a feed is gone, or after the platform was unavailable, everything is read again.
+//! An answer that is older than the known state changes nothing.
 
 mod config;
 mod feed_client;
--- a/trackfrontd/src/serving/follow/servers.rs
+++ b/trackfrontd/src/serving/follow/servers.rs
@@ -1,4 +1,4 @@
-//! Follows the list of servers.
+//! Follows the server list.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
     ChangeOrigin, DirectoryEvent, ReceivedChanges, ServerChange,
 };
 
-use super::feed_client::{FIRST_PAUSE, FeedClient};
+use super::feed_client::{FIRST_RETRY_DELAY, FeedClient};
 use crate::serving::boxes;
 use crate::serving::crashes;
 use crate::serving::exchange;
@@ -16,17 +16,16 @@
 use crate::serving::node::ServingNode;
 use crate::serving::peer_socket::PeerSocket;
 
-/// How long the box waits after a change of servers, so that one call brings the changes of many,
-/// as a part of the time within which a draining server has to be known.
-const GATHER_PART: f64 = 0.125;
+/// The delay after a change of servers, so that one call returns the changes of many, as a fraction of the drain time.
+const GATHER_DELAY_FRACTION: f64 = 0.125;
 
-/// Follows the servers for as long as the box lives.
+/// Follows the server list for as long as the node runs.
 pub async fn follow_servers(node: Arc<ServingNode>, socket: Arc<PeerSocket>) {
-    let mut link = FeedClient::new(node.clone(), FeedKind::Servers);
+    let mut client = FeedClient::new(node.clone(), FeedKind::Servers);
     boxes::wait_for_box_list(&node).await;
     loop {
-        if take_copy(&node, &link).await {
-            follow_from(&node, &socket, &mut link).await;
+        if fetch_snapshot(&node, &client).await {
+            follow_feed(&node, &socket, &mut client).await;
             break;
         }
         if !boxes::wait_for_snapshot(&node).await {
@@ -34,67 +33,67 @@
         }
     }
     loop {
-        link.count("list_servers");
+        client.count("list_servers");
         let listing = match node.ports.knowledge.list_servers().await {
             Ok(listing) => listing,
             Err(error) => {
-                link.failed(&error).await;
-                if !node.knows_servers() && take_copy(&node, &link).await {
-                    follow_from(&node, &socket, &mut link).await;
+                client.back_off(&error).await;
+                if !node.knows_servers() && fetch_snapshot(&node, &client).await {
+                    follow_feed(&node, &socket, &mut client).await;
                 }
                 continue;
             }
         };
-        link.works();
+        client.record_success();
         let to = listing.version;
-        let (from, found) = take_listing(&node, listing);
+        let (from, found) = apply_listing(&node, listing);
         let Some(Found { events, changes }) = found else {
-            log::info!(version = to; "list of servers older than what is known");
+            log::info!(version = to; "server list older than the known one");
             relay_server_changes(&node, &socket, ReceivedChanges::empty(from)).await;
-            sleep(FIRST_PAUSE).await;
+            sleep(FIRST_RETRY_DELAY).await;
             continue;
         };
         handle_events(&node, events, to, Source::Platform);
-        // Who knows something else hears that there is more, and asks for a copy.
-        let told = ReceivedChanges::from_listing(from, to, changes, MAX_CHANGES_PER_MESSAGE);
-        relay_server_changes(&node, &socket, told).await;
+        // A box in another state than `from` finds that it misses changes and fetches a snapshot.
+        let received = ReceivedChanges::from_listing(from, to, changes, MAX_CHANGES_PER_MESSAGE);
+        relay_server_changes(&node, &socket, received).await;
         node.set_knows_servers();
-        follow_from(&node, &socket, &mut link).await;
+        follow_feed(&node, &socket, &mut client).await;
     }
 }
 
-/// Takes in what another box knows that this one does not. Returns whether there was something.
-async fn take_copy(node: &Arc<ServingNode>, link: &FeedClient) -> bool {
+/// Fetches and applies a snapshot of the server list from another box. Returns whether one had a newer list.
+async fn fetch_snapshot(node: &Arc<ServingNode>, client: &FeedClient) -> bool {
     let known = node.directory.lock().newest_version();
-    let told_by = node.feed_state.lock().take_gap();
-    let mut sources = link.sources(told_by);
+    let notifier = node.feed_state.lock().take_gap();
+    let mut sources = client.sources(notifier);
     if sources.is_empty() && known == 0 {
         sources = boxes::likely_up(node);
     }
-    let Some(copy) = exchange::fetch_servers(node, &sources, known).await else {
+    let Some(snapshot) = exchange::fetch_servers(node, &sources, known).await else {
         return false;
     };
     let events = {
         let mut directory = node.directory.lock();
-        // What came in between by relay is newer, or was passed over for the gap.
-        directory.apply_update(copy.update, copy.version, node.now())
+        // Changes relayed meanwhile are newer than the snapshot, or were not applied because of the gap.
+        directory.apply_update(snapshot.update, snapshot.version, node.now())
     };
-    handle_events(node, events, copy.version, Source::OtherBox);
+    handle_events(node, events, snapshot.version, Source::OtherBox);
     node.feed_state.lock().record(FeedKind::Servers, node.now());
     node.set_knows_servers();
     true
 }
 
-/// What a listing of the servers has changed.
+/// The changes that a listing of the servers made.
 struct Found {
     events: Vec<DirectoryEvent>,
-    /// The same for the other boxes of the hall.
+    /// The same changes for the other boxes of the hall.
     changes: Vec<ServerChange>,
 }
 
-/// Takes in a listing of the servers. Returns the newest version before it, and what it has changed;
-/// nothing if it is older than what is known.
-fn take_listing(node: &ServingNode, listing: Listing<ServerChange>) -> (u64, Option<Found>) {
+/// Applies a listing of the servers. Returns the newest version before it, and its changes unless it is older than the
+/// known list.
+fn apply_listing(node: &ServingNode, listing: Listing<ServerChange>) -> (u64, Option<Found>) {
     let rows: Vec<ServerChange> = listing.rows.into_iter().map(|(_, row)| row).collect();
     node.unusable_rows.record(&rows, &node.metrics);
     let mut directory = node.directory.lock();
@@ -112,47 +111,47 @@
 }
 
 /// Follows the feed until everything has to be read again.
-async fn follow_from(node: &Arc<ServingNode>, socket: &PeerSocket, link: &mut FeedClient) {
-    while !link.must_reread() {
-        link.wait_for_reader(|| node.feed_state.lock().has_gap()).await;
-        if link.woke() {
+async fn follow_feed(node: &Arc<ServingNode>, socket: &PeerSocket, client: &mut FeedClient) {
+    while !client.must_reread() {
+        client.wait_for_reader(|| node.feed_state.lock().has_gap()).await;
+        if client.take_suspension() {
             return;
         }
-        if node.feed_state.lock().has_gap() && take_copy(node, link).await {
+        if node.feed_state.lock().has_gap() && fetch_snapshot(node, client).await {
             continue;
         }
-        link.count("follow_servers");
+        client.count("follow_servers");
         let from = node.directory.lock().newest_version();
-        let call = node.ports.knowledge.follow_servers(from, link.feed_wait());
-        let Some(answer) = link.unless_suspended(call).await else {
+        let call = node.ports.knowledge.follow_servers(from, client.feed_wait());
+        let Some(answer) = client.unless_suspended(call).await else {
             return;
         };
         match answer {
             Ok(Feed::Changes { changes, version: to }) => {
-                link.works();
-                let some = !changes.is_empty();
-                let events = take_changes(node, changes.clone(), to);
+                client.record_success();
+                let has_changes = !changes.is_empty();
+                let events = apply_changes(node, changes.clone(), to);
                 handle_events(node, events, to, Source::Platform);
-                let told = ReceivedChanges { origin: ChangeOrigin::Feed, from, to, changes };
-                relay_server_changes(node, socket, told).await;
-                if some {
-                    sleep(link.part_of_drain(GATHER_PART)).await;
+                let received = ReceivedChanges { origin: ChangeOrigin::Feed, from, to, changes };
+                relay_server_changes(node, socket, received).await;
+                if has_changes {
+                    sleep(client.drain_fraction(GATHER_DELAY_FRACTION)).await;
                 }
             }
             Ok(Feed::HistoryGone) => {
-                // The hall is told nothing yet: it would take that for a word on the list and wait anew, 2.4 s in all
-                // of a promised 2 s where this box then ended before it had listed the servers.
-                log::info!(table = "servers", after = from; "history gone, reading anew");
-                sleep(FIRST_PAUSE).await;
+                // Nothing is relayed yet: the hall would take it for the list's confirmation and wait again, 2.4 s in
+                // all with a drain time of 2 s if this box then stops before it has listed the servers.
+                log::info!(table = "servers", after = from; "feed history gone, reading everything again");
+                sleep(FIRST_RETRY_DELAY).await;
                 return;
             }
-            Err(error) => link.failed(&error).await,
+            Err(error) => client.back_off(&error).await,
         }
     }
-    link.forgive();
+    client.reset_failures();
 }
 
-fn take_changes(node: &ServingNode, changes: Vec<ServerChange>, to: u64) -> Vec<DirectoryEvent> {
+fn apply_changes(node: &ServingNode, changes: Vec<ServerChange>, to: u64) -> Vec<DirectoryEvent> {
     node.unusable_rows.record(&changes, &node.metrics);
     let now = node.now();
     let mut directory = node.directory.lock();
@@ -161,12 +160,12 @@
     events
 }
 
-/// Learns the short names of servers that came, and forgets those of servers that went.
-fn note_names(node: &ServingNode, events: &[DirectoryEvent]) {
+/// Updates the short names of servers that joined or left.
+fn update_names(node: &ServingNode, events: &[DirectoryEvent]) {
     let mut names = node.names.lock();
     for event in events {
         match event {
-            // One that drained when it was first heard of came with that word.
+            // A server that was already draining when it was first listed has no `Joined` event.
             DirectoryEvent::Joined(id) | DirectoryEvent::Draining(id) => names.add_server(id),
             DirectoryEvent::Left(id) => names.remove_server(id),
             DirectoryEvent::Changed(_) => {}
@@ -174,12 +173,12 @@
     }
 }
 
-/// Takes servers away whose rows lapsed and did not come back in time.
+/// Removes servers whose rows expired and did not return in time.
 pub fn drop_expired_rows(node: &ServingNode) {
     let events = node.directory.lock().drop_expired_rows(node.now());
     if !events.is_empty() {
         let version = node.directory.lock().newest_version();
-        log::info!(servers = events.len(), version; "rows lapsed and did not come back");
+        log::info!(servers = events.len(), version; "removed servers whose rows expired");
         handle_events(node, events, version, Source::OtherBox);
     }
 }
@@ -189,7 +188,7 @@
 pub enum Source {
     /// It read them from the platform.
     Platform,
-    /// Another box handed them on.
+    /// Another box relayed them.
     OtherBox,
 }
 
@@ -203,9 +202,8 @@
     }
 }
 
-/// Logs what has changed and lets the rest of the box know. A change of what a server says of itself has
-/// a line at the box that read it; at the others such changes are summed up, or lines would grow with
-/// boxes times changes.
+/// Logs changes of servers and notifies the other parts of the node. The box that read a change from the platform logs one
+/// line for it; other boxes log a count, or the number of lines would be that of boxes times changes.
 pub fn handle_events(
     node: &ServingNode,
     events: Vec<DirectoryEvent>,
@@ -216,13 +214,13 @@
         return;
     }
     let directory = node.directory.lock();
-    let mut summed_up = 0;
+    let mut counted = 0;
     let mut gone = Vec::new();
     for event in &events {
         let (id, what) = match event {
             DirectoryEvent::Joined(id) => (id, "server joined"),
             DirectoryEvent::Changed(_) if source == Source::OtherBox => {
-                summed_up += 1;
+                counted += 1;
                 continue;
             }
             DirectoryEvent::Changed(id) => (id, "server changed"),
@@ -244,11 +242,11 @@
             None => log::info!(server:% = id, version; "{what}"),
         }
     }
-    if summed_up > 0 {
-        log::info!(servers = summed_up, version; "servers changed");
+    if counted > 0 {
+        log::info!(servers = counted, version; "servers changed");
     }
     drop(directory);
-    note_names(node, &events);
+    update_names(node, &events);
     let mut loads = node.loads.lock();
     for event in &events {
         if let DirectoryEvent::Left(id) = event {
