--- a/trackfrontd/src/serving/exchange.rs
+++ b/trackfrontd/src/serving/exchange.rs
@@ -1,13 +1,12 @@
-//! Whole copies that boxes give each other: the configuration in force and the list of servers.
+//! Snapshots that boxes fetch from each other, such as the configuration in force and the server list.
 //!
-//! If every box read the platform's store for itself, each change of the configuration would cost
-//! as many calls as there are boxes, and each start two more. A box asks others of its hall first and
-//! reads the store where none of them has what it lacks: 1,204 calls instead of 2,111 on a day of 90
-//! boxes. A copy is checked like what the store holds, and one that is older than what a box has changes
-//! nothing there.
+//! If every box read the platform's store itself, each change of the configuration would cost one call for each box, and
+//! each start of a box two more. A box asks others of its hall first and reads the store only if none of them has what it
+//! is missing: 1,204 calls instead of 2,111 on a day of 90 boxes. A snapshot is checked like the content of the store,
+//! and one that is older than a box's state changes nothing.
 //!
-//! Copies go over HTTP/2 as `bincode`, deflated. Of the servers only what has changed since the version
-//! that the asker knows, where the box that is asked knows all of that.
+//! Snapshots are encoded with `bincode`, compressed with deflate and sent over HTTP/2. A snapshot of the servers holds only
+//! the changes since the version that the client knows, if the other box knows all of them.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -39,53 +38,53 @@
 use super::notices;
 use super::packing::{UnpackError, pack, unpack};
 
-/// The path of the configuration; the row's version that the asker has follows.
+/// The path of the configuration, followed by the row version that the client has.
 const CONFIG_PATH: &str = "/copy/3/config/";
 
-/// The path of the list of servers; the version that the asker knows follows, 0 for the whole list.
+/// The path of the server list, followed by the version that the client knows, 0 for the whole list.
 const SERVERS_PATH: &str = "/copy/2/servers/";
 
 /// The path of the list of boxes.
 const BOXES_PATH: &str = "/copy/1/boxes";
 
-/// The path of the requests that are held off.
+/// The path of the quarantined requests.
 const CRASHES_PATH: &str = "/copy/1/crashes";
 
-/// The path of what servers said of themselves.
+/// The path of the servers' notices.
 const NOTICES_PATH: &str = "/copy/1/notices";
 
-/// The header of a copy of the configuration that says which row is in force at the box that gives it, and how many
-/// milliseconds ago that was the newest for certain. Without it a box that starts could not tell whether keys are good
-/// until its first question was answered, and refused what needs one for up to 0.5 s after it was ready.
+/// The header of a configuration snapshot with the row in force at the serving box and the milliseconds since that row was
+/// confirmed to be the newest. Without it, a starting box could not validate keys until the first reply to its request for
+/// the newest row, and refused requests that need a key for up to 0.5 s after it was ready.
 const NEWEST_ROW: HeaderName = HeaderName::from_static("newest-row");
 
-/// How long a box may take until it begins to hand a copy out, and until the copy is whole. A configuration
-/// of 4,250 routes is a copy of some 65 KB; a box with the smallest link of today, 10 Mbit/s, sends thirty of
-/// them in 1.6 s. Beyond that the store is the shorter way: 0.9 s on a link of one's own.
-const PATIENCE: Patience =
+/// The timeouts for the head and the whole of a response. The snapshot of a configuration of 4,250 routes takes some 65 KB;
+/// a box with the smallest link in use, 10 Mbit/s, sends thirty of them in 1.6 s. Beyond that, reading the store is faster:
+/// it takes 0.9 s over a box's own link.
+const SNAPSHOT_TIMEOUTS: Patience =
     Patience { head: Duration::from_millis(400), whole: Duration::from_millis(2_000) };
 
-/// How many boxes are asked, one after the other, before the store is.
-const BOXES_ASKED: usize = 2;
+/// The number of boxes that are asked, one after the other, before the store is read.
+const MAX_SOURCES: usize = 2;
 
-/// The largest copy once it is inflated, in bytes: a stored configuration has 4 MB at most.
-const MAX_COPY_BYTES: usize = 8 * 1024 * 1024;
+/// The largest uncompressed snapshot in bytes. A stored configuration has 4 MB at most.
+const MAX_SNAPSHOT_BYTES: usize = 8 * 1024 * 1024;
 
 const CONTENT_TYPE: &str = "application/octet-stream";
 
-/// Why a box gave no copy.
+/// Why a box sent no usable snapshot.
 #[derive(Debug, Error)]
 pub enum SnapshotError {
-    /// It has nothing newer.
+    /// The box has nothing newer.
     #[error("the box has nothing newer")]
     NothingNewer,
-    /// It did not answer.
+    /// The box did not answer in time.
     #[error("the box did not answer: {0}")]
     Unreachable(#[from] HttpError),
-    /// It answered something else.
+    /// The box answered with an unexpected status.
     #[error("the box answered with status {0}; check that both boxes run the same version")]
     BadStatus(StatusCode),
-    /// Its copy is broken.
+    /// The snapshot cannot be decoded.
     #[error("the copy cannot be used: {0}")]
     Broken(#[from] UnpackError),
 }
@@ -94,111 +93,112 @@
 struct ConfigSnapshot {
     row: u64,
     config: ServingConfig,
-    /// What the operator said of halls, as of the moment at which it was packed.
+    /// The operator's statuses of halls when the snapshot was packed.
     halls: Vec<HallStatus>,
 }
 
-/// What another box knows more of the servers.
+/// The difference between another box's server list and the client's.
 #[derive(Serialize, Deserialize)]
 pub struct ServersSnapshot {
-    /// The version that it knows.
+    /// The version of the other box's list.
     pub version: u64,
-    /// What leads there.
+    /// The changes that lead to this version.
     pub update: DirectoryUpdate,
 }
 
-/// A copy as it goes over the wire.
-struct PackedCopy {
-    /// The version that the asker knew, where the copy has what came after it; of a configuration that of the halls.
-    after: u64,
-    /// The version that it is of.
+/// An encoded snapshot.
+struct PackedSnapshot {
+    /// For the servers, the version that the client knew; for the configuration, the version of the halls.
+    base: u64,
+    /// The version of the snapshot.
     version: u64,
     bytes: Bytes,
 }
 
-/// The last copy that was packed.
-type Packed = Mutex<Option<PackedCopy>>;
+/// The last encoded snapshot of one kind.
+type SnapshotCache = Mutex<Option<PackedSnapshot>>;
 
-/// The client that asks for copies, and the last copies that were handed out: many boxes ask for the
-/// same one.
+/// The client that fetches snapshots, and the snapshots that were served last: many boxes request the same one.
 pub struct Exchange {
     client: HttpClient,
-    config: Packed,
-    servers: Packed,
+    config: SnapshotCache,
+    servers: SnapshotCache,
 }
 
 impl Default for Exchange {
     fn default() -> Self {
-        let (config, servers) = (Packed::default(), Packed::default());
+        let (config, servers) = (SnapshotCache::default(), SnapshotCache::default());
         Self { client: HttpClient::http2(), config, servers }
     }
 }
 
 impl Exchange {
-    /// Leaves the connections to other boxes that are kept open.
+    /// Drops the open connections to other boxes.
     pub fn forget_connections(&self) {
         self.client.forget_connections();
     }
 }
 
-/// Answers a box that asks for a copy; `None` if the path is not that of a copy.
+/// Answers a request for a snapshot, or returns `None` if the path is not that of one.
 pub fn handle_request(node: &ServingNode, path: &str) -> Option<Response<Body>> {
     if path == CRASHES_PATH {
-        return Some(copy_response(crashes::snapshot(node).map(|reports| pack(&reports))));
+        return Some(snapshot_response(crashes::snapshot(node).map(|reports| pack(&reports))));
     }
     if path == BOXES_PATH {
         let boxes = node.are_boxes_listed().then(|| node.peers.lock().listed_boxes());
-        return Some(copy_response(boxes.map(|boxes| pack(&boxes))));
+        return Some(snapshot_response(boxes.map(|boxes| pack(&boxes))));
     }
     if path == NOTICES_PATH {
-        return Some(copy_response(notices::snapshot(node).map(|told| pack(&told))));
+        return Some(snapshot_response(notices::snapshot(node).map(|notices| pack(&notices))));
     }
     let known = |prefix| path.strip_prefix(prefix)?.parse::<u64>().ok();
     match (known(CONFIG_PATH), known(SERVERS_PATH)) {
-        (Some(known), _) => Some(with_newest(node, copy_response(config_copy(node, known)))),
-        (None, Some(known)) => Some(copy_response(servers_copy(node, known))),
+        (Some(known), _) => {
+            Some(with_confirmed_row(node, snapshot_response(config_snapshot(node, known))))
+        }
+        (None, Some(known)) => Some(snapshot_response(servers_snapshot(node, known))),
         (None, None) => None,
     }
 }
 
-/// Adds what this box knows of how new its configuration is.
-fn with_newest(node: &ServingNode, mut copy: Response<Body>) -> Response<Body> {
+/// Adds the header that says when the row in force was last confirmed to be the newest.
+fn with_confirmed_row(node: &ServingNode, mut response: Response<Body>) -> Response<Body> {
     if let Some(ConfirmedRow { row, age_ms }) = node.config_freshness.confirmed_row(node.now()) {
         let value = format!("{row} {age_ms}");
         let value = HeaderValue::from_str(&value).expect("digits are valid in a header");
-        copy.headers_mut().insert(NEWEST_ROW, value);
+        response.headers_mut().insert(NEWEST_ROW, value);
     }
-    copy
+    response
 }
 
-/// Reads what [`with_newest`] wrote; `None` from a box of the version before.
-fn read_newest(headers: &HeaderMap) -> Option<ConfirmedRow> {
+/// Parses the header of [`with_confirmed_row`]. Boxes of the previous version do not send it.
+fn parse_confirmed_row(headers: &HeaderMap) -> Option<ConfirmedRow> {
     let (row, age_ms) = headers.get(NEWEST_ROW)?.to_str().ok()?.split_once(' ')?;
     Some(ConfirmedRow { row: row.parse().ok()?, age_ms: age_ms.parse().ok()? })
 }
 
-fn copy_response(packed: Option<Bytes>) -> Response<Body> {
+fn snapshot_response(packed: Option<Bytes>) -> Response<Body> {
     match packed {
         Some(bytes) => response(StatusCode::OK, CONTENT_TYPE, bytes),
         None => response(StatusCode::NO_CONTENT, CONTENT_TYPE, ""),
     }
 }
 
-fn config_copy(node: &ServingNode, known: u64) -> Option<Bytes> {
-    // Read first: the configuration may be newer than the row, never older.
+fn config_snapshot(node: &ServingNode, known: u64) -> Option<Bytes> {
+    // The row is read first, so that the configuration may be newer than the row but never older.
     let row = node.config_row_in_force();
     let config = node.config.load_full()?;
     if known >= row {
         return None;
     }
     let halls = node.evacuations.lock().statuses();
-    let halls_version = halls.iter().map(|word| word.version).max().unwrap_or(0);
-    let copy = || ConfigSnapshot { row, config: ServingConfig::clone(&config), halls };
-    // A whole configuration: what the asker knew makes no difference to it, but what is known of halls does.
-    Some(packed(&node.exchange.config, halls_version, row, copy))
+    let halls_version = halls.iter().map(|status| status.version).max().unwrap_or(0);
+    let snapshot = || ConfigSnapshot { row, config: ServingConfig::clone(&config), halls };
+    // The snapshot holds the whole configuration, so it depends on the halls but not on the client's version.
+    Some(cached(&node.exchange.config, halls_version, row, snapshot))
 }
 
-fn servers_copy(node: &ServingNode, known: u64) -> Option<Bytes> {
+fn servers_snapshot(node: &ServingNode, known: u64) -> Option<Bytes> {
     if !node.knows_servers() {
         return None;
     }
@@ -207,81 +207,82 @@
     if known >= version {
         return None;
     }
-    let copy = || ServersSnapshot { version, update: directory.update_since(known) };
-    Some(packed(&node.exchange.servers, known, version, copy))
+    let snapshot = || ServersSnapshot { version, update: directory.update_since(known) };
+    Some(cached(&node.exchange.servers, known, version, snapshot))
 }
 
-/// Returns a copy, packed once for all that ask for the same one: after an outage a whole hall does so in the
-/// same tenth of a second. Packed for each, 52 of 53 boxes gave up on one with 0.12 of a core; with this and
-/// with datagrams that leave room on the link, 96 copies are given up on a day of 295 boxes instead of 370.
-fn packed<T: Serialize>(
-    last: &Packed,
-    after: u64,
+/// Returns an encoded snapshot, cached for all boxes that request the same one: after an outage a whole hall does so within
+/// a tenth of a second. Without the cache, 52 of 53 boxes timed out at a box with 0.12 of a core. The cache and datagrams
+/// that leave room on the link reduced the snapshots that timed out on a day of 295 boxes from 370 to 96.
+fn cached<T: Serialize>(
+    cache: &SnapshotCache,
+    base: u64,
     version: u64,
-    copy: impl FnOnce() -> T,
+    snapshot: impl FnOnce() -> T,
 ) -> Bytes {
-    let mut last = last.lock();
-    let is_same = |last: &&PackedCopy| last.after == after && last.version == version;
+    let mut last = cache.lock();
+    let is_same = |last: &&PackedSnapshot| last.base == base && last.version == version;
     if let Some(same) = last.as_ref().filter(is_same) {
         return same.bytes.clone();
     }
-    let bytes = pack(&copy());
-    *last = Some(PackedCopy { after, version, bytes: bytes.clone() });
+    let bytes = pack(&snapshot());
+    *last = Some(PackedSnapshot { base, version, bytes: bytes.clone() });
     bytes
 }
 
-/// Asks `boxes` for a configuration that is newer than row `known`.
+/// Fetches a configuration that is newer than row `known` from one of `boxes`.
 pub async fn fetch_config(
     node: &ServingNode,
     boxes: &[Ipv4Addr],
     known: u64,
 ) -> Option<StoredConfig> {
     let path = format!("{CONFIG_PATH}{known}");
-    let asked_at = node.now();
-    let Fetched { copy, newest } = fetch_first::<ConfigSnapshot>(node, boxes, &path).await?;
-    if let Some(newest) = newest {
-        node.config_freshness.merge_report(newest, asked_at);
+    let requested_at = node.now();
+    let Fetched { snapshot, confirmed_row } =
+        fetch_first::<ConfigSnapshot>(node, boxes, &path).await?;
+    if let Some(confirmed_row) = confirmed_row {
+        node.config_freshness.merge_report(confirmed_row, requested_at);
     }
-    follow::apply_hall_statuses(node, &copy.halls, follow::Source::OtherBox);
-    Some(StoredConfig { row_version: copy.row, config: Ok(copy.config) })
+    follow::apply_hall_statuses(node, &snapshot.halls, follow::Source::OtherBox);
+    Some(StoredConfig { row_version: snapshot.row, config: Ok(snapshot.config) })
 }
 
-/// Asks `boxes` for what has changed of the servers since version `known`.
+/// Fetches the changes of the servers since version `known` from one of `boxes`.
 pub async fn fetch_servers(
     node: &ServingNode,
     boxes: &[Ipv4Addr],
     known: u64,
 ) -> Option<ServersSnapshot> {
-    Some(fetch_first(node, boxes, &format!("{SERVERS_PATH}{known}")).await?.copy)
+    Some(fetch_first(node, boxes, &format!("{SERVERS_PATH}{known}")).await?.snapshot)
 }
 
-/// Asks `boxes`, all at once, for the list of all boxes.
+/// Fetches the list of all boxes from `boxes`, asking all of them at once.
 pub async fn fetch_boxes(node: &ServingNode, boxes: &[Ipv4Addr]) -> Option<Vec<ListedBox>> {
-    let asked = boxes.iter().map(|ip| fetch_first(node, std::slice::from_ref(ip), BOXES_PATH));
-    let mut answers: FuturesUnordered<_> = asked.collect();
+    let requests = boxes.iter().map(|ip| fetch_first(node, std::slice::from_ref(ip), BOXES_PATH));
+    let mut answers: FuturesUnordered<_> = requests.collect();
     while let Some(answer) = answers.next().await {
-        if let Some(Fetched { copy, .. }) = answer {
-            return Some(copy);
+        if let Some(Fetched { snapshot, .. }) = answer {
+            return Some(snapshot);
         }
     }
     None
 }
 
-/// Asks `boxes` for the requests that are held off.
+/// Fetches the quarantined requests from one of `boxes`.
 pub async fn fetch_crashes(node: &ServingNode, boxes: &[Ipv4Addr]) -> Option<Vec<CrashReport>> {
-    Some(fetch_first(node, boxes, CRASHES_PATH).await?.copy)
+    Some(fetch_first(node, boxes, CRASHES_PATH).await?.snapshot)
 }
 
-/// Asks `boxes` for what servers said of themselves.
+/// Fetches the servers' notices from one of `boxes`.
 pub async fn fetch_notices(node: &ServingNode, boxes: &[Ipv4Addr]) -> Option<Vec<NoticeRecord>> {
-    Some(fetch_first(node, boxes, NOTICES_PATH).await?.copy)
+    Some(fetch_first(node, boxes, NOTICES_PATH).await?.snapshot)
 }
 
-/// A copy that another box gave.
+/// A snapshot from another box.
 struct Fetched<T> {
-    copy: T,
-    /// What that box knows of how new its configuration is, if it says so.
-    newest: Option<ConfirmedRow>,
+    snapshot: T,
+    /// The row in force at that box, if it sent one.
+    confirmed_row: Option<ConfirmedRow>,
 }
 
 async fn fetch_first<T: DeserializeOwned>(
@@ -289,22 +290,22 @@
     boxes: &[Ipv4Addr],
     path: &str,
 ) -> Option<Fetched<T>> {
-    for ip in boxes.iter().take(BOXES_ASKED) {
-        let began = node.now();
+    for ip in boxes.iter().take(MAX_SOURCES) {
+        let started_at = node.now();
         match fetch(node, *ip, path).await {
             Ok(fetched) => {
-                log_fetch(*ip, path, "taken", began, node.now());
+                log_fetch(*ip, path, "taken", started_at, node.now());
                 return Some(fetched);
             }
-            Err(error) => log_fetch(*ip, path, &error.to_string(), began, node.now()),
+            Err(error) => log_fetch(*ip, path, &error.to_string(), started_at, node.now()),
         }
     }
     None
 }
 
-fn log_fetch(ip: Ipv4Addr, path: &str, outcome: &str, began: Moment, now: Moment) {
-    let ms = now.since(began).as_millis() as u64;
-    log::info!(from:% = ip, path, outcome, ms; "copy asked for");
+fn log_fetch(ip: Ipv4Addr, path: &str, outcome: &str, started_at: Moment, now: Moment) {
+    let ms = now.since(started_at).as_millis() as u64;
+    log::info!(from:% = ip, path, outcome, ms; "snapshot requested");
 }
 
 async fn fetch<T: DeserializeOwned>(
@@ -314,11 +315,11 @@
 ) -> Result<Fetched<T>, SnapshotError> {
     let address = format!("{ip}:{}", node.settings.load().listen.peers);
     let request = with_body(request(Method::GET, &address, path), Bytes::new())?;
-    let answer = node.exchange.client.fetch_large(request, PATIENCE).await?;
+    let answer = node.exchange.client.fetch_large(request, SNAPSHOT_TIMEOUTS).await?;
     match answer.status {
         StatusCode::OK => {
-            let copy = unpack::<T, MAX_COPY_BYTES>(&answer.body)?;
-            Ok(Fetched { copy, newest: read_newest(&answer.headers) })
+            let snapshot = unpack::<T, MAX_SNAPSHOT_BYTES>(&answer.body)?;
+            Ok(Fetched { snapshot, confirmed_row: parse_confirmed_row(&answer.headers) })
         }
         StatusCode::NO_CONTENT => Err(SnapshotError::NothingNewer),
         other => Err(SnapshotError::BadStatus(other)),
