--- a/trackfrontd/src/serving/peer_socket.rs
+++ b/trackfrontd/src/serving/peer_socket.rs
@@ -1,8 +1,8 @@
-//! The socket for datagrams between boxes. It sends no faster than the box's link carries.
+//! The UDP socket for messages between boxes, paced to the box's link.
 //!
-//! A datagram that finds the link's queue full is lost without a word. Of 41 changes of servers for a hall of
-//! 57 boxes, 0.4 MB at once on a link of 20 Mbit/s, the first 27 boxes had the first 4.7 KB, and nobody more: the
-//! others heard of a server that leaves seconds later.
+//! A datagram that finds the link's queue full is dropped silently. When a box sent 41 server changes to a hall of 57 boxes,
+//! 0.4 MB at once over a link of 20 Mbit/s, the first 27 boxes received the first 4.7 KB and no box received more: the
+//! others learned of a leaving server seconds later.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -18,53 +18,52 @@
 /// The largest datagram, in bytes.
 pub const MAX_DATAGRAM: usize = 32 * 1024;
 
-/// The part of the link that datagrams between boxes take at most; requests and copies have the rest.
-const LINK_PART: f64 = 0.5;
+/// The largest fraction of the link for datagrams between boxes. The rest is left to requests and snapshots.
+const LINK_FRACTION: f64 = 0.5;
 
-/// How many bytes are handed to the link at once: half of what came through of the burst above, 127 KB.
+/// The most bytes sent to the link at once: half of the 127 KB that got through of the burst above.
 const BURST_BYTES: usize = 64 * 1024;
 
-/// The socket.
+/// The socket, which sends no faster than a fraction of the link's rate.
 #[derive(Debug)]
 pub struct PeerSocket {
     socket: UdpSocket,
-    /// The port of every box.
+    /// The port, the same at every box.
     port: u16,
     bytes_per_second: f64,
-    /// When the link is done with all that was sent so far, at that rate.
-    done_at: Mutex<Instant>,
-    /// How many messages were sent; each goes to another box first, so that what is lost all the same
-    /// does not always strike the same ones.
+    /// When the link will have carried everything sent so far, at that rate.
+    drained_at: Mutex<Instant>,
+    /// The number of messages sent. It rotates the order of recipients, so that losses do not always hit the same boxes.
     sent: AtomicUsize,
 }
 
 impl PeerSocket {
-    /// Binds the socket of the box at `ip`, whose link carries `link_mbps` megabits a second.
+    /// Binds the socket at `ip`, paced for a link of `link_mbps` megabits a second.
     pub async fn bind(ip: Ipv4Addr, port: u16, link_mbps: f64) -> io::Result<Self> {
         Ok(Self {
             socket: UdpSocket::bind(SocketAddr::from((ip, port))).await?,
             port,
-            bytes_per_second: link_mbps * 1e6 / 8.0 * LINK_PART,
-            done_at: Mutex::new(Instant::now()),
+            bytes_per_second: link_mbps * 1e6 / 8.0 * LINK_FRACTION,
+            drained_at: Mutex::new(Instant::now()),
             sent: AtomicUsize::new(0),
         })
     }
 
-    /// Sends a message to boxes, as fast as the link carries it.
+    /// Sends a message to each of `boxes`, as fast as the pacing permits.
     pub async fn send(&self, message: &Message, boxes: &[Ipv4Addr]) {
         let Some(bytes) = encode(message) else {
             return;
         };
         let first = self.sent.fetch_add(1, Ordering::Relaxed) % boxes.len().max(1);
-        let (later, sooner) = boxes.split_at(first);
-        for ip in sooner.iter().chain(later) {
-            self.room_for(bytes.len()).await;
+        let (head, tail) = boxes.split_at(first);
+        for ip in tail.iter().chain(head) {
+            self.wait_for_room(bytes.len()).await;
             let sent = self.socket.send_to(&bytes, SocketAddr::from((*ip, self.port))).await;
             log_failure(*ip, sent);
         }
     }
 
-    /// Sends a short message to one box at once.
+    /// Sends a short message to one box at once, without pacing.
     pub fn send_now(&self, message: &Message, ip: Ipv4Addr) {
         if let Some(bytes) = encode(message) {
             let sent = self.socket.try_send_to(&bytes, SocketAddr::from((ip, self.port)));
@@ -72,7 +71,8 @@
         }
     }
 
-    /// Receives a datagram. Returns its length and the box that sent it; `None` if it is of no box.
+    /// Receives a datagram, and returns its length and the box that sent it. Returns `None` if the sender has no IPv4
+    /// address and thus is no box.
     pub async fn receive(&self, buffer: &mut [u8]) -> io::Result<Option<(usize, Ipv4Addr)>> {
         let (length, from) = self.socket.recv_from(buffer).await?;
         Ok(match from.ip() {
@@ -81,26 +81,26 @@
         })
     }
 
-    /// Waits until the link has room for `length` bytes more.
-    async fn room_for(&self, length: usize) {
-        let time = |bytes: usize| Duration::from_secs_f64(bytes as f64 / self.bytes_per_second);
+    /// Waits until the link has room for another `length` bytes.
+    async fn wait_for_room(&self, length: usize) {
+        let duration = |bytes: usize| Duration::from_secs_f64(bytes as f64 / self.bytes_per_second);
         let now = Instant::now();
-        let done_at = {
-            let mut done_at = self.done_at.lock();
-            *done_at = (*done_at).max(now) + time(length);
-            *done_at
+        let drained_at = {
+            let mut drained_at = self.drained_at.lock();
+            *drained_at = (*drained_at).max(now) + duration(length);
+            *drained_at
         };
-        let may_send_at = done_at - time(BURST_BYTES).min(done_at - now);
+        let may_send_at = drained_at - duration(BURST_BYTES).min(drained_at - now);
         if may_send_at > now {
             sleep_until(may_send_at).await;
         }
     }
 }
 
-/// Nothing depends on one message, so a failed send is as good as a lost one.
+/// Logs a failed send, which is no worse than a lost datagram: nothing depends on a single message.
 fn log_failure(ip: Ipv4Addr, sent: io::Result<usize>) {
     if let Err(error) = sent {
-        log::debug!(to:% = ip, error:% = error; "message not sent");
+        log::debug!(to:% = ip, error:% = error; "sending a message failed");
     }
 }
 
@@ -108,11 +108,11 @@
     match bincode::serde::encode_to_vec(message, bincode::config::standard()) {
         Ok(bytes) if bytes.len() <= MAX_DATAGRAM => Some(bytes),
         Ok(bytes) => {
-            log::warn!(bytes = bytes.len(); "message too large, not sent");
+            log::warn!(bytes = bytes.len(); "message too large for a datagram; not sent");
             None
         }
         Err(error) => {
-            log::error!(error:% = error; "message not encoded");
+            log::error!(error:% = error; "encoding a message failed");
             None
         }
     }
--- a/trackfrontd/tests/peer_socket.rs
+++ b/trackfrontd/tests/peer_socket.rs
@@ -1,10 +1,10 @@
-//! The socket for datagrams between boxes.
+//! The UDP socket for messages between boxes.
 //!
-//! What was seen: after an outage of the store some boxes sent requests to a server up to 5 s after it had said
-//! that it leaves, and some served by an old configuration; both have to be known within 4 s. The box that read
-//! for its hall of 57 handed on 41 changes at once. The first 27 boxes in the order of addresses had the
-//! first part, nobody the second, and the rest heard nothing: a datagram that finds a link's queue full is
-//! lost without a word. What proved it: the newest version that each box of the hall logged by then.
+//! Guards against bursts that overflow a link's queue, which drops datagrams silently. After an outage of the store, the
+//! feed reader of a hall of 57 boxes relayed 41 changes at once. The first 27 boxes in order of address received the first
+//! part, nobody the second, and the rest nothing, as the newest version logged by each box showed. Some boxes sent requests
+//! to a server up to 5 s after it had announced that it leaves, and some served an old configuration; boxes have to know
+//! both within 4 s.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -16,26 +16,26 @@
 use trackfrontd::serving::messages::Message;
 use trackfrontd::serving::peer_socket::PeerSocket;
 
-/// The boxes of a large hall, beside the one that tells them.
+/// The boxes of a large hall, except for the sender.
 const BOXES: usize = 56;
 
-/// What the link carries: 1.25 MB/s.
+/// The rate of the link: 1.25 MB/s.
 const LINK_MBPS: f64 = 10.0;
 
-/// What the queue of a link holds, as it was measured at a box that lost what came after.
+/// The capacity of a link's queue, measured at a box that lost all further datagrams.
 const QUEUE_BYTES: f64 = 127_000.0;
 
-/// A message of about 10 KB, as changes of servers have unpacked.
+/// A message of about 10 KB, the size of uncompressed server changes.
 fn large_message() -> Message {
     Message::PackedFeedUpdate(vec![7; 10_000])
 }
 
 fn ip(last: usize) -> Ipv4Addr {
-    let run = std::process::id();
-    Ipv4Addr::new(127, 60 + (run / 250 % 100) as u8, (run % 250) as u8, last as u8)
+    let process = std::process::id();
+    Ipv4Addr::new(127, 60 + (process / 250 % 100) as u8, (process % 250) as u8, last as u8)
 }
 
-/// Starts boxes that note when a datagram came, and how long it was.
+/// Starts boxes that record the time and the length of each received datagram.
 async fn hall(port: u16, seen: &Arc<parking_lot::Mutex<Vec<(Instant, usize)>>>) -> Vec<Ipv4Addr> {
     let mut boxes = Vec::new();
     for last in 1..=BOXES {
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_burst_never_has_more_on_its_way_than_a_links_queue_holds() {
+async fn burst_fits_the_queue_of_the_link() {
     let port = 18_182;
     let seen = Arc::default();
     let boxes = hall(port, &seen).await;
@@ -64,19 +64,19 @@
     sleep(Duration::from_millis(200)).await;
     let seen = seen.lock().clone();
     assert_eq!(seen.len(), 2 * BOXES, "nothing is lost");
-    // What the queue holds if the link takes from it at its full speed.
+    // The bytes in the queue if the link drains it at its full rate.
     let mut queued: f64 = 0.0;
-    let mut before = seen[0].0;
+    let mut last_at = seen[0].0;
     for (at, length) in seen {
-        let taken = at.duration_since(before).as_secs_f64() * LINK_MBPS * 1e6 / 8.0;
-        queued = (queued - taken).max(0.0) + length as f64;
-        before = at;
+        let drained = at.duration_since(last_at).as_secs_f64() * LINK_MBPS * 1e6 / 8.0;
+        queued = (queued - drained).max(0.0) + length as f64;
+        last_at = at;
         assert!(queued < QUEUE_BYTES, "{queued} bytes wait");
     }
 }
 
-/// Notes which box a datagram came to.
-async fn note(ip: Ipv4Addr, port: u16, seen: Arc<parking_lot::Mutex<Vec<Ipv4Addr>>>) {
+/// Records the recipient of each datagram.
+async fn record_recipients(ip: Ipv4Addr, port: u16, seen: Arc<parking_lot::Mutex<Vec<Ipv4Addr>>>) {
     let socket = UdpSocket::bind(SocketAddr::from((ip, port))).await.expect("free");
     let mut buffer = vec![0; 32 * 1024];
     tokio::spawn(async move {
@@ -87,14 +87,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn other_boxes_are_told_first_each_time() {
+async fn first_recipient_rotates() {
     let port = 18_183;
     let seen = Arc::default();
     let boxes = [ip(101), ip(102)];
     for ip in boxes {
-        note(ip, port, Arc::clone(&seen)).await;
+        record_recipients(ip, port, Arc::clone(&seen)).await;
     }
-    // Beyond the burst that goes at once, 0.1 s lie between two datagrams.
+    // After the initial burst, datagrams are sent 0.1 s apart.
     let socket = PeerSocket::bind(ip(201), port, 5.0).await.expect("free");
     for _ in 0..4 {
         socket.send(&Message::PackedFeedUpdate(vec![7; 30_000]), &boxes).await;
@@ -106,9 +106,9 @@
 }
 
 #[tokio::test]
-async fn a_short_message_to_one_box_does_not_wait_behind_a_burst() {
+async fn short_message_to_one_box_does_not_wait_for_a_burst() {
     let port = 18_184;
-    let one = UdpSocket::bind(SocketAddr::from((ip(111), port))).await.expect("free");
+    let recipient = UdpSocket::bind(SocketAddr::from((ip(111), port))).await.expect("free");
     let socket = Arc::new(PeerSocket::bind(ip(202), port, 0.5).await.expect("free"));
     let busy = socket.clone();
     let burst = tokio::spawn(async move {
@@ -118,8 +118,8 @@
     sleep(Duration::from_millis(50)).await;
     socket.send_now(&Message::FeedUpdate(FeedUpdate::Config { row: 1 }), ip(111));
     let mut buffer = [0; 64];
-    let came = timeout(Duration::from_millis(900), one.recv_from(&mut buffer)).await;
-    assert!(came.is_ok(), "it came at once");
+    let received = timeout(Duration::from_millis(900), recipient.recv_from(&mut buffer)).await;
+    assert!(received.is_ok(), "it came at once");
     assert!(!burst.is_finished(), "the burst goes on");
     burst.abort();
 }
