--- a/trackfront_core/src/serving/config.rs
+++ b/trackfront_core/src/serving/config.rs
@@ -94,9 +94,9 @@
     /// The maximum time for which a request is held.
     pub timeout: Duration,
     /// The target latency of an answer, or of the first event of a stream.
-    pub target: Duration,
+    pub latency_target: Duration,
     /// The target for the longest gap between two events of a stream.
-    pub gap_target: Option<Duration>,
+    pub event_gap_target: Option<Duration>,
     /// The priority; 0 is the highest.
     pub priority: u8,
     /// The services that handle the requests; never empty.
--- a/trackfrontd/src/serving/pipeline/admission.rs
+++ b/trackfrontd/src/serving/pipeline/admission.rs
@@ -35,7 +35,7 @@
         if has_not_run && !self.is_likely_in_time(choice, now) {
             self.count_saturation(true);
             let retry_after =
-                self.retry_after_wait(choice.estimate.saturating_sub(self.route.target));
+                self.retry_after_wait(choice.estimate.saturating_sub(self.route.latency_target));
             return Some(Refusal::NoServer { cause: "none is free in time", retry_after });
         }
         if attempts.servers.is_empty() {
@@ -66,10 +66,10 @@
     /// rest of the capacity serves first tries.
     pub(super) fn admission_time(&self, now: Instant) -> Duration {
         let spent = self.since_first_try + now.saturating_duration_since(self.arrived);
-        let left = self.route.target.saturating_sub(spent);
+        let left = self.route.latency_target.saturating_sub(spent);
         match self.since_first_try.is_zero() {
             true => left,
-            false => left.max(self.route.target.mul_f64(RETRY_TARGET_SHARE)),
+            false => left.max(self.route.latency_target.mul_f64(RETRY_TARGET_SHARE)),
         }
     }
 
--- a/trackfrontd/src/serving/pipeline/attempt.rs
+++ b/trackfrontd/src/serving/pipeline/attempt.rs
@@ -128,7 +128,7 @@
         if !self.route.is_idempotent() || self.route.max_attempts < 2 {
             return self.answer_by;
         }
-        let max_wait = self.route.target * HEAD_WAIT_TARGET_FACTOR;
+        let max_wait = self.route.latency_target * HEAD_WAIT_TARGET_FACTOR;
         let half = self.answer_by.saturating_duration_since(self.request_time()) / 2;
         self.request_time() + max_wait.max(half)
     }
--- a/trackfrontd/src/serving/pipeline/hold.rs
+++ b/trackfrontd/src/serving/pipeline/hold.rs
@@ -125,7 +125,7 @@
                 (report_due + load_time, report_due)
             }
         };
-        let latest = (self.arrived + self.route.target).min(self.answer_by);
+        let latest = (self.arrived + self.route.latency_target).min(self.answer_by);
         match expected + self.prefill_time() <= latest {
             true => Wait::For { expected, until: until.min(latest) },
             false => Wait::Nothing,
@@ -136,7 +136,7 @@
     /// that is in time. Requests held for the same server are released at spread-out times.
     fn wait_until(&self, until: Moment) -> Wait {
         let expected = self.request_time() + self.spread(until.since(self.node.now()));
-        let latest = (self.arrived + self.route.target).min(self.answer_by);
+        let latest = (self.arrived + self.route.latency_target).min(self.answer_by);
         match expected + self.prefill_time() <= latest {
             true => Wait::For { expected, until: expected },
             false => Wait::Nothing,
--- a/trackfrontd/src/serving/response_relay.rs
+++ b/trackfrontd/src/serving/response_relay.rs
@@ -221,9 +221,9 @@
     /// Returns the time at which a silent stream counts as broken.
     fn silence_deadline(&self) -> Instant {
         let job = &self.job;
-        match job.route.gap_target {
+        match job.route.event_gap_target {
             Some(gap) if job.route.resumable && self.sends < job.route.max_attempts => {
-                let silence = (gap * SILENCE_GAP_FACTOR).max(job.route.target);
+                let silence = (gap * SILENCE_GAP_FACTOR).max(job.route.latency_target);
                 job.answer_by.min(job.request_time() + silence)
             }
             _ => job.answer_by,
