--- a/trackfrontd/src/serving/crashes/mod.rs
+++ b/trackfrontd/src/serving/crashes/mod.rs
@@ -64,7 +64,7 @@
 
 impl Crashes {
     /// Returns how many servers a request crashed, if it is quarantined.
-    pub fn quarantined(&self, fingerprint: Fingerprint) -> Option<usize> {
+    pub fn quarantined_crashes(&self, fingerprint: Fingerprint) -> Option<usize> {
         let tracker = self.tracker.lock();
         tracker
             .is_quarantined(fingerprint)
--- a/trackfrontd/src/serving/listeners.rs
+++ b/trackfrontd/src/serving/listeners.rs
@@ -20,8 +20,8 @@
 /// The maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Clients' connections may use two parts in this many of the file descriptors; each may need
-/// another one to a server.
+/// Clients' connections may use two in this many file descriptors; each connection may need another
+/// one to a server.
 const CLIENT_DESCRIPTOR_DIVISOR: usize = 5;
 
 /// Binds a listener, also to an address that an earlier process has just released.
@@ -83,7 +83,7 @@
 /// on any other path.
 pub async fn serve_boxes(
     node: Arc<ServingNode>,
-    lines: LogQueue,
+    log_queue: LogQueue,
     listener: TcpListener,
     stop: watch::Receiver<bool>,
 ) {
@@ -91,16 +91,16 @@
         let (method, path) = (request.method(), request.uri().path());
         let held_off = || crashes::operators::answer(&node, method, path);
         let answer = exchange::handle_request(&node, path).or_else(held_off);
-        let answer = answer.unwrap_or_else(|| metrics_text(&node, &lines));
+        let answer = answer.unwrap_or_else(|| metrics_text(&node, &log_queue));
         async move { Ok(answer) }
     };
     serve(listener, handler, stop).await;
 }
 
-fn metrics_text(node: &ServingNode, lines: &LogQueue) -> Response<Body> {
+fn metrics_text(node: &ServingNode, log_queue: &LogQueue) -> Response<Body> {
     let counts = node.pool.counts();
     let metrics = &node.metrics;
-    metrics.dropped_lines.set(lines.dropped() as i64);
+    metrics.dropped_lines.set(log_queue.dropped() as i64);
     metrics.connections_opened.set(counts.opened as i64);
     metrics.connections_reused.set(counts.reused as i64);
     metrics.nodes.set(node.peers.lock().alive(node.now()).len() as i64 + 1);
--- a/trackfrontd/src/serving/order_task.rs
+++ b/trackfrontd/src/serving/order_task.rs
@@ -139,7 +139,7 @@
             let of_model = leaving.iter().any(|one| one.item.adapter.is_none());
             sleep(if of_model { MODEL_WITHDRAWAL_NOTICE } else { ADAPTER_WITHDRAWAL_NOTICE }).await;
         }
-        let accepted = self.order_all().await;
+        let accepted = self.send_orders().await;
         let all = accepted.proposals.len() == self.proposals.len();
         let done = self.wait_until_done(&accepted).await && all;
         if !done {
@@ -168,7 +168,7 @@
     }
 
     /// Sends the orders one after the other until one isn't accepted.
-    async fn order_all(&self) -> AcceptedOrders<'_> {
+    async fn send_orders(&self) -> AcceptedOrders<'_> {
         let mut accepted =
             AcceptedOrders { proposals: Vec::new(), sequence: 0, load_time: Duration::ZERO };
         let Some(mut report) = self.read_report().await else {
--- a/trackfrontd/src/serving/pipeline/mod.rs
+++ b/trackfrontd/src/serving/pipeline/mod.rs
@@ -124,7 +124,7 @@
             return Ok(refused(&node, &refusal, Some(&id)));
         }
     };
-    Ok(run(Arc::new(job), end).await)
+    Ok(serve(Arc::new(job), end).await)
 }
 
 fn refused(node: &ServingNode, refusal: &Refusal, id: Option<&RequestId>) -> Response<Body> {
@@ -230,8 +230,8 @@
     }
 }
 
-/// Sends the request until it is answered or given up.
-async fn run(job: Arc<Job>, mut end: EndLog) -> Response<Body> {
+/// Sends the request until it is answered or given up, and returns the response.
+async fn serve(job: Arc<Job>, mut end: EndLog) -> Response<Body> {
     let node = job.node.clone();
     let mut attempts = Attempts::default();
     let refusal = loop {
@@ -385,7 +385,7 @@
     /// Returns whether quarantine still allows the request to be sent.
     fn may_pass_quarantine(&self) -> bool {
         let is_trial = self.is_trial.load(Ordering::Relaxed);
-        is_trial || self.node.crashes.quarantined(self.fingerprint).is_none()
+        is_trial || self.node.crashes.quarantined_crashes(self.fingerprint).is_none()
     }
 
     /// Refuses a quarantined request, also one that was quarantined between two sends.
@@ -393,7 +393,7 @@
         if self.is_trial.load(Ordering::Relaxed) {
             return None;
         }
-        let servers = self.node.crashes.quarantined(self.fingerprint)?;
+        let servers = self.node.crashes.quarantined_crashes(self.fingerprint)?;
         if attempts.servers.is_empty() && crashes::try_start_trial(&self.node, self.fingerprint) {
             self.is_trial.store(true, Ordering::Relaxed);
             return None;
--- a/trackfrontd/src/serving/response_relay.rs
+++ b/trackfrontd/src/serving/response_relay.rs
@@ -41,7 +41,7 @@
 }
 
 /// Logs the end of a request at the end of its stream.
-fn logged(body: Body, end: EndLog) -> Body {
+fn log_stream_end(body: Body, end: EndLog) -> Body {
     let pieces = stream::unfold(LoggedBody { body, end }, |mut logged| async move {
         match logged.body.frame().await {
             Some(Ok(frame)) => Some((Ok(frame), logged)),
@@ -61,13 +61,13 @@
 /// Logs the end of an answered request: now, or at the end of its stream.
 pub fn log_end(response: Response<Body>, is_stream: bool, mut end: EndLog) -> Response<Body> {
     if is_stream {
-        return response.map(|body| logged(body, end));
+        return response.map(|body| log_stream_end(body, end));
     }
     end.end("answered", "");
     response
 }
 
-/// Relays a server's answer after its head.
+/// Relays a server's answer, whose head was already read.
 pub async fn relay(
     job: &Arc<Job>,
     answer: UpstreamAnswer,
