--- a/trackfrontd/src/serving/run.rs
+++ b/trackfrontd/src/serving/run.rs
@@ -24,29 +24,29 @@
     quota, suspension,
 };
 
-/// How long a call to the platform's store may take beyond the time that it asks the store to wait.
+/// The timeout of a call to the platform's store, in addition to the time that the call asks the store to wait.
 pub const STORE_CALL_MARGIN: Duration = Duration::from_millis(900);
 
-/// How often the settings file is looked at: it may change without a signal.
-const SETTINGS_EVERY: Duration = Duration::from_millis(2_000);
+/// The interval at which the settings file is read, since it may change without a signal.
+const SETTINGS_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// How long a stopping node still takes connections, while the balancer learns of it: it asks
-/// every second and wants two misses.
-const LEAVE_TIME: Duration = Duration::from_millis(2_600);
+/// The longest time that a stopping node still accepts connections. The load balancer checks its readiness every second
+/// and removes it after two failed checks.
+const LAME_DUCK_TIME: Duration = Duration::from_millis(2_600);
 
-/// How long before the end of its grace a stopping node ends, answered or not.
-const LAST_MARGIN: Duration = Duration::from_millis(400);
+/// The time before the end of its grace period at which a stopping node exits, even with requests in progress.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
-/// How often old figures are dropped and idle connections closed.
-const SWEEP_EVERY: Duration = Duration::from_millis(1_000);
+/// The interval at which old data is dropped and idle connections are closed.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// How late the sweep has to be for the process to have stood still: frozen, or far too slow.
-const STOOD_STILL: Duration = Duration::from_millis(500);
+/// The delay of a sweep that counts as a standstill of the process, which was frozen or far too slow.
+const STANDSTILL_DELAY: Duration = Duration::from_millis(500);
 
-/// How long a connection to a server stays open unused.
+/// The time after which an idle connection to a server is closed.
 const MAX_IDLE: Duration = Duration::from_secs(20);
 
-/// Runs a node until it is told to stop and every request in progress is answered.
+/// Runs a node until it receives a signal to stop and has answered every request in progress, or its grace period ends.
 pub async fn run(
     path: PathBuf,
     settings: ServingSettings,
@@ -69,11 +69,11 @@
     let socket = Arc::new(socket);
     let (stop_clients, clients_stopped) = watch::channel(false);
     let (_stop_rest, rest_stopped) = watch::channel(false);
-    let giving = Arc::new(HoldsOrderLease::default());
+    let order_lease = Arc::new(HoldsOrderLease::default());
     let mut tasks = JoinSet::new();
     tasks.spawn(follow::follow_config(node.clone(), socket.clone()));
     tasks.spawn(follow::follow_servers(node.clone(), socket.clone()));
-    tasks.spawn(gossip::send_digests(node.clone(), socket.clone(), giving.clone()));
+    tasks.spawn(gossip::send_digests(node.clone(), socket.clone(), order_lease.clone()));
     tasks.spawn(boxes::maintain_box_list(node.clone(), socket.clone()));
     tasks.spawn(missing_items::notify_requesters(node.clone(), socket.clone()));
     tasks.spawn(config_freshness::track_config_freshness(node.clone(), socket.clone()));
@@ -97,11 +97,13 @@
                 let serving = listeners::serve_boxes(node, lines, listener, rest_stopped.clone());
                 tasks.spawn(serving);
             }
-            // Serving clients matters more than figures, and than copies for other boxes.
-            Err(error) => log::error!(error:% = error, port; "metrics and copies not served"),
+            // Clients can be served without metrics, and without snapshots for other boxes.
+            Err(error) => {
+                log::error!(error:% = error, port; "cannot serve metrics and snapshots; free the port")
+            }
         }
     }
-    let placement = tokio::spawn(Placement::new(node.clone(), giving).run());
+    let placement = tokio::spawn(Placement::new(node.clone(), order_lease).run());
     let serving = listeners::serve_clients(node.clone(), clients, clients_stopped);
     let mut serving = tokio::spawn(serving);
     tokio::select! {
@@ -118,13 +120,13 @@
 
 fn log_start(node: &ServingNode) {
     let settings = node.settings.load();
-    let (name, zone) = (&settings.node.name, &settings.node.hall);
+    let (name, hall) = (&settings.node.name, &settings.node.hall);
     let version = env!("CARGO_PKG_VERSION");
-    log::info!(name, zone:%, version, clients:% = settings.listen.clients; "started");
+    log::info!(name, zone:% = hall, version, clients:% = settings.listen.clients; "started");
 }
 
-/// Leaves: calls itself not ready, gives the lease up, goes on taking connections until the
-/// balancer has noticed, then answers what is in progress.
+/// Stops the node: reports it as not ready, gives up the order lease, accepts connections until the load balancer has
+/// noticed, and then answers the requests in progress.
 async fn stop(
     node: &Arc<ServingNode>,
     placement: tokio::task::JoinHandle<()>,
@@ -137,28 +139,28 @@
     node.set_stopping();
     node.digest_requested.notify_one();
     node.missing_item_added.notify_one();
-    let leave = LEAVE_TIME.min(grace / 3);
-    sleep(leave).await;
+    let lame_duck = LAME_DUCK_TIME.min(grace / 3);
+    sleep(lame_duck).await;
     stop_clients.send_replace(true);
-    let rest = grace.saturating_sub(leave + LAST_MARGIN);
+    let rest = grace.saturating_sub(lame_duck + EXIT_MARGIN);
     if timeout(rest, serving).await.is_err() {
         let in_flight = node.metrics.in_flight.get();
-        log::warn!(in_flight; "grace over with requests in progress");
+        log::warn!(in_flight; "grace period over with requests in progress");
     }
     placement.abort();
 }
 
-/// Drops what is old, and notes when the process stood still: whatever it believed is that old.
+/// Drops old data periodically, and detects when the process stood still and its data became as old.
 async fn sweep(node: Arc<ServingNode>) {
-    let mut before = Instant::now();
+    let mut last_sweep = Instant::now();
     loop {
-        sleep(SWEEP_EVERY).await;
-        let late = before.elapsed().saturating_sub(SWEEP_EVERY);
-        if late >= STOOD_STILL {
+        sleep(SWEEP_INTERVAL).await;
+        let delay = last_sweep.elapsed().saturating_sub(SWEEP_INTERVAL);
+        if delay >= STANDSTILL_DELAY {
             count_standstill(&node, "stood_still");
-            log::warn!(ms = late.as_millis() as u64; "process stood still");
+            log::warn!(ms = delay.as_millis() as u64; "process stood still");
         }
-        before = Instant::now();
+        last_sweep = Instant::now();
         let now = node.now();
         node.pool.close_idle(MAX_IDLE);
         follow::drop_expired_rows(&node);
@@ -169,26 +171,26 @@
     }
 }
 
-/// Counts that nothing ran for a while, and why.
+/// Counts a time in which nothing ran, by its kind.
 pub fn count_standstill(node: &ServingNode, kind: &'static str) {
     node.metrics.standstills.get_or_create(&KindLabel { kind }).inc();
 }
 
-/// Takes over settings that have changed, by signal or without.
+/// Reloads settings that have changed, on a signal or periodically.
 async fn reload(node: Arc<ServingNode>, path: PathBuf, mut hangup: Signal) {
     loop {
-        let signalled = timeout(SETTINGS_EVERY, hangup.recv()).await.is_ok();
+        let signalled = timeout(SETTINGS_INTERVAL, hangup.recv()).await.is_ok();
         let settings = match ServingSettings::read(&path) {
             Ok(settings) => settings,
             Err(error) => {
-                log::error!(error:% = error; "settings refused, the old ones stay in force");
+                log::error!(error:% = error; "settings refused; the previous ones stay in force");
                 continue;
             }
         };
-        let before = node.settings.load_full();
-        let changed = *before != settings;
-        if changed && (before.listen != settings.listen || before.store != settings.store) {
-            log::warn!("addresses changed in the settings; they count from the next start");
+        let previous = node.settings.load_full();
+        let changed = *previous != settings;
+        if changed && (previous.listen != settings.listen || previous.store != settings.store) {
+            log::warn!("changed addresses in the settings take effect at the next start");
         }
         if changed {
             node.retry_budgets.lock().set_terms(settings.promises.budget());
--- a/trackfrontd/src/serving/settings.rs
+++ b/trackfrontd/src/serving/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a serving node: one TOML file.
+//! The settings of a serving node, read from one TOML file.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -26,145 +26,145 @@
         /// The system's error.
         source: std::io::Error,
     },
-    /// The file has a fault.
+    /// The file is not valid TOML, or a setting has an invalid value.
     #[error("{path}: {message}; correct the key, docs/operations/serving.md lists them")]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong, with line and key.
+        /// The error, with line or key.
         message: String,
     },
 }
 
-/// All settings.
+/// The settings of a node.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServingSettings {
-    /// The node's name, address and place.
+    /// The node's name, address and location.
     pub node: NodeSettings,
-    /// Where it listens.
+    /// The addresses and ports that the node listens on.
     pub listen: ListenSettings,
     /// The platform's store.
     pub store: StoreSettings,
-    /// What the node may use.
+    /// The resources that the node may use.
     pub resources: ResourceSettings,
-    /// The promises that it keeps.
+    /// The guarantees of the deployment that the node upholds.
     #[serde(default)]
     pub promises: PromiseSettings,
-    /// The region of each hall that servers may stand in.
+    /// The region of each hall that may contain servers.
     #[serde(default)]
     pub halls: BTreeMap<HallName, RegionName>,
 }
 
-/// Who and where the node is.
+/// The identity and location of the node.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// The name, for logs and orders.
+    /// The name, used in logs and orders.
     pub name: String,
-    /// The address that other nodes reach it at.
+    /// The address at which other nodes reach this one.
     pub ip: Ipv4Addr,
-    /// The zone.
+    /// The hall.
     #[serde(rename = "zone")]
     pub hall: HallName,
     /// The region.
     pub region: RegionName,
-    /// Whether the whole system starts for the first time: no other box is up yet.
+    /// Whether the whole system starts for the first time and no other box is up yet.
     #[serde(default)]
     pub first_start: bool,
 }
 
-/// The addresses that the node listens on.
+/// The addresses and ports that the node listens on.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// For clients.
+    /// The address for clients.
     pub clients: SocketAddrV4,
-    /// For the balancer's question whether the node takes connections.
+    /// The address for the load balancer's readiness checks.
     pub readiness: SocketAddrV4,
-    /// For other nodes, over UDP; the port is the same on all nodes.
+    /// The UDP port for other nodes, and the TCP port for snapshots. It is the same on all nodes.
     pub peers: u16,
-    /// For metrics.
+    /// The port for metrics.
     pub metrics: u16,
 }
 
-/// The platform's store.
+/// The platform's store, as the node reaches it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Its address.
+    /// The address of the store.
     pub address: SocketAddrV4,
 }
 
-/// What the node may use.
+/// The resources that the node may use.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResourceSettings {
-    /// The cores that it sees.
+    /// The number of cores visible to the node.
     pub cores: u32,
-    /// The descriptors that it may have open.
+    /// The limit of open file descriptors.
     pub file_descriptors: usize,
-    /// What its link to the network carries, in megabits a second.
+    /// The rate of the network link in megabits a second.
     #[serde(default = "common_link")]
     pub link_mbps: f64,
-    /// Its share of a core.
+    /// The share of a core, 1 for a whole one.
     #[serde(default = "whole_core")]
     pub cpu_share: f64,
-    /// The memory that it may use, in MB.
+    /// The memory in MB.
     #[serde(default = "common_memory")]
     pub memory_mb: f64,
 }
 
 impl ResourceSettings {
-    /// Returns how much the node can bear, which decides what it does for others.
+    /// Returns the node's capacity, which decides on the work that it does for other boxes.
     pub fn capacity(&self) -> CapacityClass {
         CapacityClass::new(self.cpu_share, self.link_mbps, self.memory_mb)
     }
 }
 
-/// The share of a core of a node that has one for itself.
+/// The default share of a core: a whole one.
 fn whole_core() -> f64 {
     1.0
 }
 
-/// The memory of a common machine, in MB.
+/// The default memory in MB, that of a common machine.
 fn common_memory() -> f64 {
     1_024.0
 }
 
-/// The slowest link that is common in a hall, in megabits a second.
+/// The default rate of the link in megabits a second, the slowest that is common in a hall.
 fn common_link() -> f64 {
     100.0
 }
 
-/// The promises that the node keeps. A key that is not given has its default.
+/// The guarantees of the deployment that the node upholds. Missing keys have default values.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PromiseSettings {
-    /// How long a server that drains goes on serving, in milliseconds.
+    /// The time that a draining server continues to serve, in milliseconds.
     pub drain_ms: f64,
-    /// How long the node has to end after it was told to, in seconds.
+    /// The time from the signal to stop until the node has to exit, in seconds.
     pub grace_s: f64,
-    /// Sends of requests once more, for each request.
+    /// The number of retries permitted for each request.
     pub retry_ratio: f64,
-    /// Sends of requests once more beside that, over all nodes and for each window.
+    /// The number of additional retries over all nodes in each window.
     pub retry_slack: f64,
-    /// The length of such a window, in seconds.
+    /// The length of the retry window, in seconds.
     pub retry_window_s: f64,
-    /// The least time between orders of two nodes to one engine, in milliseconds.
+    /// The shortest time between orders of two nodes to one engine, in milliseconds.
     pub order_quiet_ms: f64,
-    /// The length of a window in which loads from the weight store are counted, in seconds.
+    /// The length of the window in which loads from the weight store are counted, in seconds.
     pub load_window_s: f64,
-    /// How many times the weight store's rate may be reached within such a window.
+    /// The permitted multiple of the weight store's rate within the load window.
     pub load_overage: f64,
-    /// How often a server writes its row, in milliseconds.
+    /// The interval at which a server writes its row, in milliseconds.
     pub heartbeat_ms: f64,
-    /// How long after it was taken away a key may still be used anywhere, in milliseconds; 0 for as long as a
-    /// box does not hear of it.
+    /// The time after its removal during which a key may still be used anywhere, in milliseconds. With 0, a box accepts a
+    /// removed key until it learns of the removal.
     pub key_end_ms: f64,
-    /// How many times the rate that a cold server bears may be reached within one second.
+    /// The permitted multiple of a cold server's rate within one second.
     pub cold_overage: f64,
-    /// Requests beside that which may reach it within one second.
+    /// The number of additional requests that a cold server may receive within one second.
     pub cold_slack: f64,
 }
 
@@ -188,7 +188,7 @@
 }
 
 impl PromiseSettings {
-    /// Returns the budget of retries.
+    /// Returns the terms of the retry budget.
     pub fn budget(&self) -> BudgetTerms {
         BudgetTerms {
             ratio: self.retry_ratio,
@@ -197,46 +197,46 @@
         }
     }
 
-    /// Returns how many loads from the weight store may begin.
+    /// Returns the limit on loads from the weight store.
     pub fn loads(&self) -> LoadRateTerms {
         let window = Duration::from_secs_f64(self.load_window_s);
         LoadRateTerms { window, overage: self.load_overage }
     }
 
-    /// Returns how long a key that was taken away may still be used; `None` if there is no bound.
+    /// Returns the bound on the use of removed keys, if there is one.
     pub fn keys(&self) -> Option<RevocationTerms> {
         let bound = Duration::from_secs_f64(self.key_end_ms / 1_000.0);
         (!bound.is_zero()).then_some(RevocationTerms { bound })
     }
 
-    /// Returns how far what a cold server bears may be passed.
+    /// Returns the tolerance above the limit of a cold server.
     pub fn cold(&self) -> ColdStartTolerance {
         ColdStartTolerance { overage: self.cold_overage, slack: self.cold_slack }
     }
 
-    /// Returns how often a server writes its row.
+    /// Returns the interval at which a server writes its row.
     pub fn heartbeat(&self) -> Duration {
         Duration::from_secs_f64(self.heartbeat_ms / 1_000.0)
     }
 
-    /// Returns how long a server that drains goes on serving.
+    /// Returns the time that a draining server continues to serve.
     pub fn drain(&self) -> Duration {
         Duration::from_secs_f64(self.drain_ms / 1_000.0)
     }
 
-    /// Returns how long the node has to end.
+    /// Returns the time from the signal to stop until the node has to exit.
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.grace_s)
     }
 
-    /// Returns the least time between orders of two nodes to one engine.
+    /// Returns the shortest time between orders of two nodes to one engine.
     pub fn order_quiet(&self) -> Duration {
         Duration::from_secs_f64(self.order_quiet_ms / 1_000.0)
     }
 
-    /// Returns the first key whose value cannot be used.
-    fn fault(&self) -> Option<(&'static str, f64)> {
-        let from_zero = [
+    /// Returns the first key with an invalid value, and the value.
+    fn invalid_value(&self) -> Option<(&'static str, f64)> {
+        let non_negative = [
             ("promises.drain_ms", self.drain_ms),
             ("promises.grace_s", self.grace_s),
             ("promises.retry_ratio", self.retry_ratio),
@@ -250,15 +250,15 @@
             ("promises.cold_overage", self.cold_overage),
             ("promises.cold_slack", self.cold_slack),
         ];
-        let positive = [from_zero[1], from_zero[4]];
+        let positive = [non_negative[1], non_negative[4]];
         let in_range = |value: f64| (0.0..1e9).contains(&value);
-        let bad = from_zero.into_iter().find(|(_, value)| !in_range(*value));
-        bad.or_else(|| positive.into_iter().find(|(_, value)| *value == 0.0))
+        let invalid = non_negative.into_iter().find(|(_, value)| !in_range(*value));
+        invalid.or_else(|| positive.into_iter().find(|(_, value)| *value == 0.0))
     }
 }
 
 impl ServingSettings {
-    /// Returns the node as it is listed among the others.
+    /// Returns the node's entry in the list of boxes.
     pub fn listed_box(&self) -> ListedBox {
         let hall = short_hall(&self.node.hall);
         ListedBox { ip: self.node.ip, hall, capacity: self.resources.capacity() }
@@ -272,7 +272,7 @@
             .map_err(|message| ServingSettingsError::Invalid { path: path.to_owned(), message })
     }
 
-    /// Parses and checks settings; the error says what is wrong.
+    /// Parses and checks settings. The error names the line or the key.
     pub fn parse(text: &str) -> Result<Self, String> {
         let settings: Self = toml::from_str(text).map_err(|error| error.to_string())?;
         settings.check()?;
@@ -280,7 +280,7 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        if let Some((key, value)) = self.promises.fault() {
+        if let Some((key, value)) = self.promises.invalid_value() {
             return Err(format!("{key} is {value}; give it a positive number"));
         }
         if self.resources.cores == 0 || self.resources.file_descriptors == 0 {
@@ -292,8 +292,8 @@
             ("cpu_share", resources.cpu_share),
             ("memory_mb", resources.memory_mb),
         ];
-        let is_bad = |value: f64| !(value.is_finite() && value > 0.0);
-        if let Some((key, value)) = positive.into_iter().find(|(_, value)| is_bad(*value)) {
+        let is_invalid = |value: f64| !(value.is_finite() && value > 0.0);
+        if let Some((key, value)) = positive.into_iter().find(|(_, value)| is_invalid(*value)) {
             return Err(format!("resources.{key} is {value}; give it a positive number"));
         }
         if self.listen.clients == self.listen.readiness {
