--- a/trackfrontd/src/serving/log_queue.rs
+++ b/trackfrontd/src/serving/log_queue.rs
@@ -1,8 +1,8 @@
-//! Log lines on standard output through a bounded queue.
+//! Writes log lines to standard output through a bounded queue.
 //!
-//! Logging never waits: a line that finds the queue full is dropped and counted, and the count is
-//! written once there is room again. Only the end of the program waits, for a bounded time, until the queue
-//! is written: its last lines say why it ended.
+//! Logging never blocks: a line that finds the queue full is dropped and counted, and the count is written once there is
+//! room again. Only the exit of the program waits, for a bounded time, until the queue is written, since the last lines say
+//! why it ended.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -15,20 +15,20 @@
 use log::{LevelFilter, Record};
 use serde_json::{Map, Value as Json};
 
-/// How many lines wait at most; at about 300 bytes each this is 1.2 MB.
+/// The capacity of the queue. At about 300 bytes each, the lines take 1.2 MB.
 const QUEUE_LINES: usize = 4_096;
 
-/// How many lines are written with one call at most.
-const BATCH: usize = 256;
+/// The most lines, beside the first one, that are written with one call.
+const BATCH_LINES: usize = 256;
 
-/// How often it is looked whether the queue is written.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+/// The interval at which [`LogQueue::wait_until_written`] checks the queue.
+const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The queue of lines, as others see it.
+/// A handle to the queue and its counts.
 #[derive(Clone, Debug, Default)]
 pub struct LogQueue(Arc<Counts>);
 
-/// Counts of lines since the start.
+/// The numbers of lines since the start.
 #[derive(Debug, Default)]
 struct Counts {
     queued: AtomicU64,
@@ -37,26 +37,26 @@
 }
 
 impl LogQueue {
-    /// Returns how many lines were dropped since the start.
+    /// Returns the number of lines dropped since the start.
     pub fn dropped(&self) -> u64 {
         self.0.dropped.load(Ordering::Relaxed)
     }
 
-    /// Waits until what is queued is written, for `time` at most. Returns whether it is.
-    pub fn wait_until_written(&self, time: Duration) -> bool {
+    /// Waits at most `timeout` until all queued lines are written, and returns whether they are.
+    pub fn wait_until_written(&self, timeout: Duration) -> bool {
         let start = Instant::now();
         let queued = self.0.queued.load(Ordering::Acquire);
         while self.0.written.load(Ordering::Acquire) < queued {
-            if start.elapsed() >= time {
+            if start.elapsed() >= timeout {
                 return false;
             }
-            std::thread::sleep(LOOK_EVERY);
+            std::thread::sleep(CHECK_INTERVAL);
         }
         true
     }
 }
 
-/// Starts logging to `output` by a thread of its own. Fails if logging was started before.
+/// Starts logging to `output` from a dedicated thread. Fails if a logger is already set.
 pub fn start(
     node: &str,
     level: LevelFilter,
@@ -86,36 +86,36 @@
     match sender.try_send(line) {
         Ok(()) => counts.queued.fetch_add(1, Ordering::Release),
         Err(TrySendError::Full(_)) => counts.dropped.fetch_add(1, Ordering::Relaxed),
-        // The thread that writes has ended, so nobody reads lines any more.
+        // The writer thread has ended, so no line is written any more.
         Err(TrySendError::Disconnected(_)) => 0,
     };
 }
 
 fn write_lines(receiver: &Receiver<String>, mut output: impl Write, lines: &LogQueue) {
-    let mut told = 0;
+    let mut reported = 0;
     let mut batch = String::new();
     while let Ok(first) = receiver.recv() {
-        let mut taken = 1;
+        let mut lines_in_batch = 1;
         batch.push_str(&first);
-        for more in receiver.try_iter().take(BATCH) {
+        for more in receiver.try_iter().take(BATCH_LINES) {
             batch.push_str(&more);
-            taken += 1;
+            lines_in_batch += 1;
         }
         let count = lines.dropped();
-        if count > told {
+        if count > reported {
             let event = "log lines dropped";
             batch.push_str(&format!("{{\"event\":\"{event}\",\"total\":{count}}}\n"));
-            told = count;
+            reported = count;
         }
-        // A reader that has gone away is no reason to stop serving.
+        // Serving continues even if the reader of the log has gone.
         let _ = output.write_all(batch.as_bytes());
         let _ = output.flush();
-        lines.0.written.fetch_add(taken, Ordering::Release);
+        lines.0.written.fetch_add(lines_in_batch, Ordering::Release);
         batch.clear();
     }
 }
 
-/// Collects the fields of a record.
+/// The collected fields of a record.
 struct Fields(Map<String, Json>);
 
 impl<'kvs> VisitSource<'kvs> for Fields {
@@ -124,8 +124,8 @@
             Json::from(number)
         } else if let Some(number) = value.to_f64() {
             Json::from(number)
-        } else if let Some(truth) = value.to_bool() {
-            Json::from(truth)
+        } else if let Some(flag) = value.to_bool() {
+            Json::from(flag)
         } else {
             Json::from(value.to_string())
         };
@@ -134,7 +134,7 @@
     }
 }
 
-/// Formats one record as a line of JSON: time, node, level, event, and the record's fields.
+/// Formats a record as a line of JSON with the time, node, level, event and the record's fields.
 fn line(node: &str, record: &Record<'_>) -> String {
     let mut fields = Fields(Map::new());
     let time = humantime::format_rfc3339_millis(std::time::SystemTime::now()).to_string();
--- a/trackfrontd/tests/log_end.rs
+++ b/trackfrontd/tests/log_end.rs
@@ -1,4 +1,4 @@
-//! The last lines of a program's log.
+//! The last log lines before a program exits.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -6,11 +6,11 @@
 
 use trackfrontd::serving::log_queue;
 
-/// An output that takes its time for each write.
+/// An output with slow writes.
 #[derive(Clone, Default)]
-struct Slow(Arc<Mutex<Vec<u8>>>);
+struct SlowOutput(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Slow {
+impl Write for SlowOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         std::thread::sleep(Duration::from_millis(500));
         self.0.lock().expect("no panic").extend_from_slice(bytes);
@@ -22,11 +22,11 @@
     }
 }
 
-/// What was seen: of all stops on days that were looked at, no log had the line that says so. The thread that
-/// writes the log got no turn between that line and the end of a box with one core.
+/// Guards against an exit before the last lines are written. At each examined stop of a box with one core, the log lacked
+/// the final `stopped` line, because the writer thread was not scheduled before the exit.
 #[test]
-fn the_end_waits_for_the_last_lines_but_not_for_ever() {
-    let output = Slow::default();
+fn exit_waits_for_the_last_lines_with_a_timeout() {
+    let output = SlowOutput::default();
     let lines = log_queue::start("n", log::LevelFilter::Info, output.clone()).expect("first");
     log::info!("stopping");
     log::info!("stopped");
--- a/trackfrontd/tests/serving.rs
+++ b/trackfrontd/tests/serving.rs
@@ -1,4 +1,4 @@
-//! The parts of a serving node that need no network: settings and the log queue.
+//! Parts of a serving node that need no network: settings, the log queue and the succession of feed readers.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -28,7 +28,7 @@
 "#;
 
 #[test]
-fn promises_that_are_not_given_have_defaults() {
+fn missing_promises_have_defaults() {
     let settings = ServingSettings::parse(SETTINGS).expect("valid");
     assert_eq!(settings.promises.drain(), Duration::from_secs(2));
     let given = format!("{SETTINGS}[promises]\ngrace_s = 3\n");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn faults_in_settings_name_the_key() {
+fn errors_in_settings_name_the_key() {
     let cases = [
         (SETTINGS.replace("cores = 1", "cores = 0"), "[resources]"),
         (SETTINGS.replace("zone = ", "zome = "), "zome"),
@@ -55,15 +55,15 @@
     }
 }
 
-/// An output whose reader has stalled until it is let go.
+/// An output that blocks until its gate is opened.
 #[derive(Clone, Default)]
-struct Stalled {
+struct BlockedOutput {
     written: Arc<Mutex<Vec<u8>>>,
     writes: Arc<AtomicUsize>,
     gate: Arc<(Mutex<bool>, std::sync::Condvar)>,
 }
 
-impl Write for Stalled {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.writes.fetch_add(1, Ordering::Relaxed);
         let (open, changed) = &*self.gate;
@@ -81,14 +81,14 @@
 }
 
 #[test]
-fn a_stalled_reader_of_the_log_holds_nothing_up_and_loses_are_counted() {
-    let output = Stalled::default();
+fn blocked_log_output_blocks_no_caller_and_dropped_lines_are_counted() {
+    let output = BlockedOutput::default();
     let lines = log_queue::start("n", log::LevelFilter::Info, output.clone()).expect("first");
     let start = Instant::now();
     for number in 0..20_000u64 {
         log::info!(number, text = "x"; "event");
     }
-    // Twenty thousand lines into a queue of four thousand: nobody waited for the reader.
+    // The queue holds four thousand of the twenty thousand lines, so the callers did not wait for the output.
     assert!(start.elapsed() < Duration::from_secs(10));
     assert!(lines.dropped() > 10_000, "{}", lines.dropped());
     *output.gate.0.lock().expect("no panic") = true;
@@ -106,15 +106,16 @@
     assert!(text.contains("log lines dropped"));
 }
 
-/// Where the first boxes of a hall are cut off from the store and do not know it yet, the others learn within the
-/// promised time all the same. With waits that grow from the second on the fifth box learned after 1.2 times that.
+/// Guards against late successors of a feed reader: when the first boxes of a hall are cut off from the store without
+/// knowing it, the others still have to read the feed within the drain time. With delays that grew from the second
+/// successor on, the fifth box read after 1.2 times that.
 #[test]
-fn eight_boxes_of_a_hall_read_within_the_promised_time() {
+fn eight_successors_read_within_the_drain_time() {
     let drain = Duration::from_millis(4_000);
     let reads_after = |rank| reader_timeout(drain) + successor_delay(rank, drain);
     assert_eq!(reads_after(1), reader_timeout(drain), "the first successor does not wait longer");
     let waits: Vec<_> = (1..=8).map(reads_after).collect();
     assert!(waits.is_sorted(), "{waits:?}");
     assert!(waits[7] <= drain.mul_f64(0.85) + Duration::from_millis(1), "{waits:?}");
-    assert!(reads_after(9) > drain, "an outage of the store is not asked about by all");
+    assert!(reads_after(9) > drain, "in an outage not all boxes call the store");
 }
