--- a/trackfront_core/src/serving/crashes/mod.rs
+++ b/trackfront_core/src/serving/crashes/mod.rs
@@ -1,12 +1,13 @@
-//! Requests that crash the servers which run them.
+//! Quarantine of requests that crash the servers which run them.
 //!
-//! Such a request comes again under a new identifier, to any box. So what counts is its [`Fingerprint`], and what is
-//! counted are runs of servers that ended under it. Sets of runs merge in any order and any number of times, which a
-//! counter does not: two boxes may tell of the same crash.
+//! A client may send such a request again under a new identifier, to any box, so it is identified by its [`Fingerprint`].
+//! For each request the incarnations of servers that ended while running it are tracked. Sets of incarnations merge in
+//! any order and any number of times, which a counter doesn't: two boxes may report the same crash.
 //!
-//! A connection that breaks under a request is no crash: links are reset and servers cut answers off. It becomes
-//! one when the run of the server is found to have ended. Whatever ran beside the cause is struck as well, so one
-//! crash says little: a request is held off after [`MAX_CRASHES`], and a whole answer excuses all crashes before it.
+//! A connection that breaks under a request is not a crash yet: links are reset, and servers break off answers. It counts
+//! as one once the server's incarnation is found to have ended. All requests that ran beside the cause are suspected as
+//! well, so one crash proves little: a request is quarantined after [`MAX_CRASHES`], and a complete answer clears it of
+//! all earlier crashes.
 
 mod report;
 
@@ -18,170 +19,169 @@
 use crate::serving::fingerprint::Fingerprint;
 use crate::units::Moment;
 
-/// How many crashes make a request a suspect, which is sent to no second server in one try.
-const SUSPECT_AFTER: usize = 2;
+/// The number of crashes after which a request is suspected and not sent to a second server in one try.
+const SUSPECT_AFTER_CRASHES: usize = 2;
 
-/// How long a break of a connection may wait for the word that its server ended. A row lapses within three
+/// How long a broken connection counts while its server is not known to have ended. A row expires within three
 /// heartbeats, 2.0 to 3.7 s.
-const BREAK_FOR: Duration = Duration::from_secs(10);
+const BREAK_TTL: Duration = Duration::from_secs(10);
 
-/// How long an answer may be read after a server sent it. One that is read just after the connection of another request
-/// broke may have been sent just before the server's end.
-const JUST_NOW: Duration = Duration::from_millis(1_000);
+/// How long an answer may be in transit. One that is read just after another request's connection broke may have been
+/// sent just before the server's end.
+const ANSWER_TRANSIT_TIME: Duration = Duration::from_millis(1_000);
 
-/// How many breaks are kept for one run of a server: more than run there at once.
+/// The most broken connections that are kept for one incarnation: more than the requests that run there at once.
 const MAX_BREAKS: usize = 512;
 
-/// How long a run that ended is remembered, for breaks that are noticed later.
-const ENDED_FOR: Duration = Duration::from_secs(30);
+/// How long an ended incarnation is remembered, for broken connections that are noticed later.
+const ENDED_TTL: Duration = Duration::from_secs(30);
 
-/// How long a request is held off; its crashes are forgotten then. Whoever was taken for the cause by mistake can be
-/// served again, and a cause crashes at most three servers in this time.
-const HELD_FOR: Duration = Duration::from_secs(600);
+/// How long a request is quarantined; its crashes are dropped then. A request that was suspected by mistake is served
+/// again, and a cause crashes at most three servers in this time.
+const QUARANTINE_TIME: Duration = Duration::from_secs(600);
 
-/// Within which time all crashes came if they may have had another cause: a hall that loses power takes many servers
-/// at once, and what all clients ask for ran on each of them.
-const TOGETHER: Duration = Duration::from_millis(250);
+/// The time within which all crashes happened if they may have had another cause: a hall that loses power takes down
+/// many servers at once, and a request that all clients send ran on each of them.
+const TOGETHER_WITHIN: Duration = Duration::from_millis(250);
 
-/// How long after such crashes the request is tried once more, by one box alone, and how many times at the most. A
-/// cause may still be sent to three servers by then, and this counts among them.
-const TRIAL_AFTER: Duration = Duration::from_millis(2_000);
+/// The delay after such crashes before one box alone tries the request again, and the most trials. A cause may still
+/// reach three servers by then, and trials count among them.
+const TRIAL_DELAY: Duration = Duration::from_millis(2_000);
 const MAX_TRIALS: u32 = 2;
 
-/// How long crashes of a request that is not held off count.
-const SUSPECTED_FOR: Duration = Duration::from_secs(600);
+/// How long crashes count of a request that is not quarantined.
+const SUSPICION_TTL: Duration = Duration::from_secs(600);
 
-/// How long a whole answer excuses a request: some requests are the same again and again, and of those that run when
-/// many servers crash at once three may be struck before the next is answered.
-const ANSWERED_FOR: Duration = Duration::from_secs(60);
+/// How long a complete answer clears a request: clients send some requests again and again, and when many servers crash
+/// at once, three of them may be running the same request before its next answer.
+const ANSWER_TTL: Duration = Duration::from_secs(60);
 
-/// How many whole answers are remembered: a box answers some 15 requests a second, so a minute of them is 900.
-const MAX_ANSWERED: usize = 4_096;
+/// The most complete answers that are remembered: a box answers some 15 requests a second, so 900 a minute.
+const MAX_ANSWERS: usize = 4_096;
 
-/// How many requests are suspected or held off at once, at about 200 bytes each; those struck first are forgotten.
-const MAX_REQUESTS: usize = 4_096;
+/// The most requests that are suspected or quarantined, at about 200 bytes each; the one whose last crash is oldest is
+/// dropped first.
+const MAX_SUSPECTS: usize = 4_096;
 
-/// A request that servers crashed under.
+/// A request under which servers crashed.
 #[derive(Clone, Debug)]
 struct Suspect {
     report: CrashReport,
-    /// When the first and the last crash were learned.
-    first_struck: Moment,
-    struck: Moment,
-    /// Since when it is held off.
-    held_since: Option<Moment>,
-    /// From when on it may be tried once more, and how many times.
+    /// When this box learned of the first and of the last crash.
+    first_crash: Moment,
+    last_crash: Moment,
+    quarantined_since: Option<Moment>,
+    /// When the next trial may start, and how many are left.
     trial_at: Moment,
     trials: u32,
 }
 
-/// What a box knows of requests that crash servers.
+/// Tracks requests that crash servers, as one box knows them.
 #[derive(Debug, Default)]
 pub struct CrashTracker {
     suspects: HashMap<Fingerprint, Suspect>,
-    /// Breaks at runs that are not known to have ended.
+    /// Connections that broke at incarnations that are not known to have ended.
     breaks: HashMap<IncarnationId, Vec<(Fingerprint, Moment)>>,
-    /// Runs that ended, and when that was learned.
+    /// Ended incarnations, and when this box learned of their end.
     ended: HashMap<IncarnationId, Moment>,
-    /// When requests were last answered whole, and the order in which they were.
+    /// When requests were last answered completely, and the answers by age.
     answered: HashMap<Fingerprint, Moment>,
     answers: VecDeque<(Fingerprint, Moment)>,
 }
 
-/// What came of a word on a request.
+/// A change of the suspicion against a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspicionChange {
-    /// Nothing that counts.
+    /// No change.
     Unchanged,
-    /// How many servers it crashed has changed.
+    /// The number of servers that it crashed has changed to this one.
     Suspected(usize),
-    /// It is held off from now on.
+    /// It is quarantined from now on.
     Quarantined,
-    /// It is no longer held off.
+    /// It is no longer quarantined.
     Released,
 }
 
 impl CrashTracker {
-    /// Notes that a connection broke under a request that a run of a server worked on. Returns what that changes
-    /// for the request; a run that is not known to have ended is to be looked at.
+    /// Records that the connection to an incarnation of a server broke under a request. Returns the change. The caller
+    /// should check whether an incarnation has ended that isn't known to have.
     pub fn connection_broke(
         &mut self,
         fingerprint: Fingerprint,
-        run: IncarnationId,
+        incarnation: IncarnationId,
         now: Moment,
     ) -> SuspicionChange {
-        if self.has_ended(run, now) {
-            return self.record_crash(fingerprint, run, now);
+        if self.has_ended(incarnation, now) {
+            return self.record_crash(fingerprint, incarnation, now);
         }
-        let breaks = self.breaks.entry(run).or_default();
+        let breaks = self.breaks.entry(incarnation).or_default();
         if breaks.len() < MAX_BREAKS {
             breaks.push((fingerprint, now));
         }
         SuspicionChange::Unchanged
     }
 
-    /// Returns whether a run of a server is known to have ended.
-    pub fn has_ended(&self, run: IncarnationId, now: Moment) -> bool {
-        self.ended.get(&run).is_some_and(|at| now.since(*at) < ENDED_FOR)
+    /// Returns whether an incarnation of a server is known to have ended.
+    pub fn has_ended(&self, incarnation: IncarnationId, now: Moment) -> bool {
+        self.ended.get(&incarnation).is_some_and(|at| now.since(*at) < ENDED_TTL)
     }
 
-    /// Notes that a run of a server answered: it had not ended when what broke there a while ago did.
-    pub fn mark_alive(&mut self, run: IncarnationId, now: Moment) {
-        self.ended.remove(&run);
-        if let Some(breaks) = self.breaks.get_mut(&run) {
-            breaks.retain(|(_, at)| now.since(*at) < JUST_NOW);
+    /// Records that an incarnation of a server answered, so that connections which broke there earlier are not crashes.
+    pub fn mark_alive(&mut self, incarnation: IncarnationId, now: Moment) {
+        self.ended.remove(&incarnation);
+        if let Some(breaks) = self.breaks.get_mut(&incarnation) {
+            breaks.retain(|(_, at)| now.since(*at) < ANSWER_TRANSIT_TIME);
         }
     }
 
-    /// Notes that a run of a server has ended: what broke there was a crash. Returns what that changes.
+    /// Records that an incarnation of a server has ended, so that connections which broke there recently are crashes.
+    /// Returns the changes.
     pub fn mark_ended(
         &mut self,
-        run: IncarnationId,
+        incarnation: IncarnationId,
         now: Moment,
     ) -> Vec<(Fingerprint, SuspicionChange)> {
-        self.ended.insert(run, now);
-        let breaks = self.breaks.remove(&run).unwrap_or_default();
-        let recent = breaks.into_iter().filter(|(_, at)| now.since(*at) < BREAK_FOR);
-        let struck: Vec<_> = recent.collect();
-        let learned = |(fingerprint, _)| (fingerprint, self.record_crash(fingerprint, run, now));
-        struck
-            .into_iter()
-            .map(learned)
-            .filter(|(_, what)| *what != SuspicionChange::Unchanged)
-            .collect()
+        self.ended.insert(incarnation, now);
+        let breaks = self.breaks.remove(&incarnation).unwrap_or_default();
+        let recent = breaks.into_iter().filter(|(_, at)| now.since(*at) < BREAK_TTL);
+        let recent: Vec<_> = recent.collect();
+        let change =
+            |(fingerprint, _)| (fingerprint, self.record_crash(fingerprint, incarnation, now));
+        let changes = recent.into_iter().map(change);
+        changes.filter(|(_, change)| *change != SuspicionChange::Unchanged).collect()
     }
 
     fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
-        run: IncarnationId,
+        incarnation: IncarnationId,
         now: Moment,
     ) -> SuspicionChange {
         if self.was_answered(fingerprint, now) {
             return SuspicionChange::Unchanged;
         }
         let mut report = CrashReport::new(fingerprint);
-        report.crashed.insert(run);
+        report.crashed.insert(incarnation);
         self.apply_report(&report, now)
     }
 
     fn was_answered(&self, fingerprint: Fingerprint, now: Moment) -> bool {
-        self.answered.get(&fingerprint).is_some_and(|at| now.since(*at) < ANSWERED_FOR)
+        self.answered.get(&fingerprint).is_some_and(|at| now.since(*at) < ANSWER_TTL)
     }
 
-    /// Takes in what is known elsewhere of a request. Crashes are excused if this box got a whole answer to it lately:
-    /// [`CrashTracker::knows_cleared`] says then that the others should hear of that.
+    /// Applies the report of another box on a request. Its crashes are cleared if this box recently got a complete answer
+    /// to the request; [`CrashTracker::knows_cleared`] then returns that other boxes should get this box's report.
     pub fn apply_report(&mut self, report: &CrashReport, now: Moment) -> SuspicionChange {
         let fingerprint = report.fingerprint;
-        let is_excused = self.was_answered(fingerprint, now);
+        let is_cleared = self.was_answered(fingerprint, now);
         if !self.suspects.contains_key(&fingerprint) {
-            self.make_room();
+            self.evict_oldest();
         }
         let suspect = self.suspects.entry(fingerprint).or_insert_with(|| Suspect {
             report: CrashReport::new(fingerprint),
-            first_struck: now,
-            struck: now,
-            held_since: None,
+            first_crash: now,
+            last_crash: now,
+            quarantined_since: None,
             trial_at: now,
             trials: 0,
         });
@@ -189,25 +189,25 @@
         if !suspect.report.merge(report) {
             return SuspicionChange::Unchanged;
         }
-        if is_excused {
+        if is_cleared {
             suspect.report.excused = suspect.report.crashed.clone();
         }
-        suspect.struck = now;
-        let was_held = suspect.held_since.is_some();
-        let is_held = suspect.report.is_quarantined();
-        match (was_held, is_held) {
+        suspect.last_crash = now;
+        let was_quarantined = suspect.quarantined_since.is_some();
+        let is_quarantined = suspect.report.is_quarantined();
+        match (was_quarantined, is_quarantined) {
             (false, true) => {
-                suspect.held_since = Some(now);
-                let is_own_word = !report.is_quarantined();
-                let came_together = now.since(suspect.first_struck) < TOGETHER;
-                suspect.report.together |= is_own_word && came_together;
+                suspect.quarantined_since = Some(now);
+                let is_new = !report.is_quarantined();
+                let came_together = now.since(suspect.first_crash) < TOGETHER_WITHIN;
+                suspect.report.together |= is_new && came_together;
                 suspect.trials = if suspect.report.together { MAX_TRIALS } else { 0 };
-                suspect.trial_at = now + TRIAL_AFTER;
+                suspect.trial_at = now + TRIAL_DELAY;
                 SuspicionChange::Quarantined
             }
             (true, false) => {
-                suspect.held_since = None;
-                // Its row is removed; if it is held off again, another is written.
+                suspect.quarantined_since = None;
+                // Its row is removed; another is written if it is quarantined again.
                 suspect.report.stored = false;
                 SuspicionChange::Released
             }
@@ -216,22 +216,22 @@
         }
     }
 
-    /// Forgets the request that was struck longest ago if there are as many as are kept.
-    fn make_room(&mut self) {
-        if self.suspects.len() < MAX_REQUESTS {
+    /// Drops the suspect whose last crash is the oldest if there are as many as are kept.
+    fn evict_oldest(&mut self) {
+        if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
-        let oldest = self.suspects.values().min_by_key(|suspect| suspect.struck);
+        let oldest = self.suspects.values().min_by_key(|suspect| suspect.last_crash);
         if let Some(fingerprint) = oldest.map(|suspect| suspect.report.fingerprint) {
             self.suspects.remove(&fingerprint);
         }
     }
 
-    /// Notes that a request was answered whole, which one that crashes its servers never is.
+    /// Records a complete answer to a request, which one that crashes its servers never gets. Returns the change.
     pub fn mark_answered(&mut self, fingerprint: Fingerprint, now: Moment) -> SuspicionChange {
         self.answered.insert(fingerprint, now);
         self.answers.push_back((fingerprint, now));
-        if self.answers.len() > MAX_ANSWERED
+        if self.answers.len() > MAX_ANSWERS
             && let Some((first, at)) = self.answers.pop_front()
             && self.answered.get(&first) == Some(&at)
         {
@@ -240,7 +240,7 @@
         self.clear_suspicion(fingerprint, now)
     }
 
-    /// Excuses a request of all crashes that are known of it.
+    /// Clears a request of all its known crashes. Returns the change.
     pub fn clear_suspicion(&mut self, fingerprint: Fingerprint, now: Moment) -> SuspicionChange {
         let Some(suspect) = self.suspects.get(&fingerprint) else {
             return SuspicionChange::Unchanged;
@@ -250,12 +250,13 @@
         self.apply_report(&report, now)
     }
 
-    /// Returns whether a request is held off.
+    /// Returns whether a request is quarantined.
     pub fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
-        self.suspects.get(&fingerprint).is_some_and(|suspect| suspect.held_since.is_some())
+        self.suspects.get(&fingerprint).is_some_and(|suspect| suspect.quarantined_since.is_some())
     }
 
-    /// Takes a trial of a request that is held off for crashes that came together. Only one box may ask for it.
+    /// Starts a trial of a request that is quarantined for crashes which happened together; returns whether one is due.
+    /// Only one box may call this for a request.
     pub fn start_trial(&mut self, fingerprint: Fingerprint, now: Moment) -> bool {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return false;
@@ -264,61 +265,66 @@
             return false;
         }
         suspect.trials -= 1;
-        suspect.trial_at = now + TRIAL_AFTER;
+        suspect.trial_at = now + TRIAL_DELAY;
         true
     }
 
-    /// Returns whether a request may well be one that crashes servers: by crashes, and by breaks that may be some.
+    /// Returns whether a request is suspected of crashing servers. Broken connections that may be crashes count as well.
     pub fn is_suspect(&self, fingerprint: Fingerprint, now: Moment) -> bool {
         let crashes = self.report(fingerprint).map_or(0, CrashReport::crashes);
-        let at_run = |breaks: &Vec<(Fingerprint, Moment)>| {
+        let has_broken = |breaks: &Vec<(Fingerprint, Moment)>| {
             let mut breaks = breaks.iter();
-            breaks.any(|(broken, at)| *broken == fingerprint && now.since(*at) < BREAK_FOR)
+            breaks.any(|(broken, at)| *broken == fingerprint && now.since(*at) < BREAK_TTL)
         };
-        let broken = self.breaks.values().filter(|breaks| at_run(breaks)).count();
-        crashes + broken >= SUSPECT_AFTER
+        let broken = self.breaks.values().filter(|breaks| has_broken(breaks)).count();
+        crashes + broken >= SUSPECT_AFTER_CRASHES
     }
 
-    /// Returns whether this box knows that crashes which another box told of count no more.
-    pub fn knows_cleared(&self, told: &CrashReport) -> bool {
-        let Some(known) = self.report(told.fingerprint) else {
+    /// Returns whether this box knows that crashes in the report of another box have been cleared.
+    pub fn knows_cleared(&self, received: &CrashReport) -> bool {
+        let Some(known) = self.report(received.fingerprint) else {
             return false;
         };
-        told.crashed.difference(&told.excused).any(|run| known.excused.contains(run))
+        received
+            .crashed
+            .difference(&received.excused)
+            .any(|incarnation| known.excused.contains(incarnation))
     }
 
-    /// Returns what is known of a request.
+    /// Returns this box's report on a request.
     pub fn report(&self, fingerprint: Fingerprint) -> Option<&CrashReport> {
         Some(&self.suspects.get(&fingerprint)?.report)
     }
 
-    /// Notes that the platform's store has a request that is held off.
+    /// Records that a quarantined request is in the platform's store.
     pub fn set_stored(&mut self, fingerprint: Fingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
             suspect.report.stored = true;
         }
     }
 
-    /// Returns the requests that are held off, and since when.
+    /// Returns the quarantined requests, and since when they are.
     pub fn quarantined(&self) -> impl Iterator<Item = (&CrashReport, Moment)> {
-        self.suspects.values().filter_map(|suspect| Some((&suspect.report, suspect.held_since?)))
+        self.suspects
+            .values()
+            .filter_map(|suspect| Some((&suspect.report, suspect.quarantined_since?)))
     }
 
-    /// Forgets what is old. Returns the requests that are held off no longer.
+    /// Drops expired entries. Returns the requests whose quarantine has ended.
     pub fn forget_old(&mut self, now: Moment) -> Vec<CrashReport> {
-        self.ended.retain(|_, at| now.since(*at) < ENDED_FOR);
+        self.ended.retain(|_, at| now.since(*at) < ENDED_TTL);
         for breaks in self.breaks.values_mut() {
-            breaks.retain(|(_, at)| now.since(*at) < BREAK_FOR);
+            breaks.retain(|(_, at)| now.since(*at) < BREAK_TTL);
         }
         self.breaks.retain(|_, breaks| !breaks.is_empty());
         let mut over = Vec::new();
-        self.suspects.retain(|_, suspect| match suspect.held_since {
-            Some(since) if now.since(since) >= HELD_FOR => {
+        self.suspects.retain(|_, suspect| match suspect.quarantined_since {
+            Some(since) if now.since(since) >= QUARANTINE_TIME => {
                 over.push(suspect.report.clone());
                 false
             }
             Some(_) => true,
-            None => now.since(suspect.struck) < SUSPECTED_FOR,
+            None => now.since(suspect.last_crash) < SUSPICION_TTL,
         });
         over
     }
--- a/trackfront_core/src/serving/crashes/report.rs
+++ b/trackfront_core/src/serving/crashes/report.rs
@@ -1,4 +1,4 @@
-//! The runs of servers that ended under one request, as boxes tell each other.
+//! Reports that boxes exchange on requests under which servers crashed.
 
 use std::collections::BTreeSet;
 
@@ -6,41 +6,41 @@
 
 use crate::serving::fingerprint::Fingerprint;
 
-/// How many servers a request may crash before it is held off: what is promised for one. Sent 40 times in 18 s, a request
-/// that may be repeated crashed 32 of eight servers' runs without a bound, and 3 to 4 with it. The fewer, the more
-/// requests are held off that only ran beside the cause.
+/// The number of servers that a request may crash until it is quarantined; the promised bound. A retryable request that
+/// was sent 40 times in 18 s crashed 32 incarnations of eight servers without the bound, and 3 to 4 with it. A lower bound
+/// would quarantine more requests that only ran beside the cause.
 pub const MAX_CRASHES: usize = 3;
 
-/// How many runs are kept for a request: enough for the bound above beside some that are excused.
-const MAX_RUNS: usize = 16;
+/// The most incarnations that are kept for a request: enough for the bound above and some that are cleared.
+const MAX_INCARNATIONS: usize = 16;
 
-/// A run of a server, by its short name.
+/// An incarnation of a server, by its short name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct IncarnationId(pub u32);
 
-/// The runs of servers that ended under a request, as boxes tell each other.
+/// The incarnations of servers that ended under a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The runs that ended under it.
+    /// The incarnations that ended under the request.
     pub crashed: BTreeSet<IncarnationId>,
-    /// Those of them that count no more, since it was answered whole or released.
+    /// Those of them that no longer count, because the request was answered completely or released.
     pub excused: BTreeSet<IncarnationId>,
-    /// Whether the platform's store has it.
+    /// Whether the report is in the platform's store.
     pub stored: bool,
-    /// Whether the crashes that held it off came together, so that they may have had another cause.
+    /// Whether the crashes before the quarantine happened together, so that they may have had another cause.
     pub together: bool,
 }
 
 impl CrashReport {
-    /// Returns how many runs count.
+    /// Returns the number of incarnations that count.
     pub fn crashes(&self) -> usize {
         self.crashed.difference(&self.excused).count()
     }
 
-    /// Returns whether the request is held off.
+    /// Returns whether the request is quarantined.
     pub fn is_quarantined(&self) -> bool {
         self.crashes() >= MAX_CRASHES
     }
@@ -50,26 +50,26 @@
         Self { fingerprint, crashed, excused, stored: false, together: false }
     }
 
-    /// Merges another report of the same request. Returns whether that changed which runs count.
+    /// Merges another report on the same request. Returns whether that changed the sets of incarnations.
     pub(super) fn merge(&mut self, other: &CrashReport) -> bool {
         let before = (self.crashed.clone(), self.excused.clone());
         self.stored |= other.stored;
         self.together |= other.together;
         self.crashed.extend(&other.crashed);
         self.excused.extend(&other.excused);
-        while self.crashed.len() > MAX_RUNS {
+        while self.crashed.len() > MAX_INCARNATIONS {
             let excused = self.crashed.intersection(&self.excused).next().copied();
-            let Some(run) = excused.or_else(|| self.crashed.last().copied()) else {
+            let Some(incarnation) = excused.or_else(|| self.crashed.last().copied()) else {
                 break;
             };
-            self.crashed.remove(&run);
+            self.crashed.remove(&incarnation);
         }
-        while self.excused.len() > MAX_RUNS {
+        while self.excused.len() > MAX_INCARNATIONS {
             let idle = self.excused.difference(&self.crashed).next().copied();
-            let Some(run) = idle.or_else(|| self.excused.first().copied()) else {
+            let Some(incarnation) = idle.or_else(|| self.excused.first().copied()) else {
                 break;
             };
-            self.excused.remove(&run);
+            self.excused.remove(&incarnation);
         }
         before != (self.crashed.clone(), self.excused.clone())
     }
--- a/trackfront_core/tests/serving/crashes_random.rs
+++ b/trackfront_core/tests/serving/crashes_random.rs
@@ -1,6 +1,5 @@
-//! Random runs of boxes that tell each other which servers ended under which requests: words are lost, late, told twice
-//! and out of order, and boxes start again. Whatever came of it, a request is held off only for runs that ended under
-//! it, and boxes that have heard the same know the same.
+//! Boxes exchange crash reports that are lost, late, duplicated and out of order, and boxes restart. A request must be
+//! quarantined only for incarnations that ended under it, and boxes that got the same reports must reach the same state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,17 +18,17 @@
 /// Requests up to this one crash servers; the others run beside them and are answered at times.
 const CAUSES: u64 = 2;
 
-/// The time of a step. All of it together is longer than anything is kept for.
+/// The time of a step. The whole simulation is longer than anything is kept.
 const STEP_MS: u64 = 20;
 
-/// How many words are on their way at most.
-const MOST_ON_THEIR_WAY: usize = 50;
+/// The most reports in transit.
+const MAX_IN_TRANSIT: usize = 50;
 
 struct World {
     boxes: Vec<CrashTracker>,
-    on_their_way: Vec<CrashReport>,
+    in_transit: Vec<CrashReport>,
     ended_under: BTreeMap<Fingerprint, BTreeSet<IncarnationId>>,
-    next_run: u32,
+    next_incarnation: u32,
 }
 
 impl World {
@@ -43,82 +42,86 @@
                 self.boxes[index].mark_answered(request, at(ms));
             }
             4..8 => {
-                self.on_their_way.extend(self.boxes[index].report(request).cloned());
-                if self.on_their_way.len() > MOST_ON_THEIR_WAY {
-                    self.on_their_way.remove(0);
+                self.in_transit.extend(self.boxes[index].report(request).cloned());
+                if self.in_transit.len() > MAX_IN_TRANSIT {
+                    self.in_transit.remove(0);
                 }
             }
             8..16 => {
-                if let Some(report) = self.on_their_way.choose(rng) {
+                if let Some(report) = self.in_transit.choose(rng) {
                     self.boxes[index].apply_report(report, at(ms));
                 }
             }
             16 => _ = self.boxes[index].forget_old(at(ms)),
             17 => {
-                let run = IncarnationId(self.next_run);
-                self.next_run += 1;
-                // A link breaks, and the server lives on.
-                self.boxes[index].connection_broke(request, run, at(ms));
-                self.boxes[index].mark_alive(run, at(ms));
+                let incarnation = IncarnationId(self.next_incarnation);
+                self.next_incarnation += 1;
+                // A link breaks; the server keeps running.
+                self.boxes[index].connection_broke(request, incarnation, at(ms));
+                self.boxes[index].mark_alive(incarnation, at(ms));
             }
             _ => {}
         }
     }
 
-    /// A server ends under a cause and what runs beside it, at whichever boxes.
+    /// Ends a server that runs a cause and other requests, sent by any of the boxes.
     fn crash(&mut self, rng: &mut ChaCha8Rng, ms: u64) {
-        let run = IncarnationId(self.next_run);
-        self.next_run += 1;
+        let incarnation = IncarnationId(self.next_incarnation);
+        self.next_incarnation += 1;
         for request in 0..REQUESTS {
-            let is_there = rng.random_bool(0.4);
-            if !is_there {
+            let ran_there = rng.random_bool(0.4);
+            if !ran_there {
                 continue;
             }
             let request = Fingerprint(request);
             let index = rng.random_range(0..BOXES);
-            self.boxes[index].connection_broke(request, run, at(ms));
-            self.ended_under.entry(request).or_default().insert(run);
+            self.boxes[index].connection_broke(request, incarnation, at(ms));
+            self.ended_under.entry(request).or_default().insert(incarnation);
         }
-        for book in &mut self.boxes {
+        for tracker in &mut self.boxes {
             if rng.random_bool(0.8) {
-                book.mark_ended(run, at(ms + 5));
+                tracker.mark_ended(incarnation, at(ms + 5));
             }
         }
     }
 
     fn check(&self) {
-        for book in &self.boxes {
-            for (report, _) in book.quarantined() {
+        for tracker in &self.boxes {
+            for (report, _) in tracker.quarantined() {
                 let ended = &self.ended_under[&report.fingerprint];
                 assert!(report.crashes() >= MAX_CRASHES);
-                assert!(report.crashed.is_subset(ended), "a run counts that did not end under it");
+                assert!(
+                    report.crashed.is_subset(ended),
+                    "an incarnation counts that did not end under the request"
+                );
             }
         }
     }
 }
 
 #[test]
-fn boxes_hold_off_only_what_servers_ended_under() {
+fn boxes_quarantine_only_requests_under_which_servers_ended() {
     let mut rng = ChaCha8Rng::seed_from_u64(71);
     let boxes = (0..BOXES).map(|_| CrashTracker::default()).collect();
     let mut world =
-        World { boxes, on_their_way: Vec::new(), ended_under: BTreeMap::new(), next_run: 0 };
-    let mut held_off = 0;
+        World { boxes, in_transit: Vec::new(), ended_under: BTreeMap::new(), next_incarnation: 0 };
+    let mut quarantined = 0;
     for step in 0..STEPS {
         world.step(&mut rng, step * STEP_MS);
         world.check();
-        held_off += world.boxes.iter().filter(|book| book.quarantined().next().is_some()).count();
+        quarantined +=
+            world.boxes.iter().filter(|tracker| tracker.quarantined().next().is_some()).count();
     }
-    assert!(held_off > 1_000, "the run has to hold something off: {held_off}");
+    assert!(quarantined > 1_000, "the simulation must quarantine something: {quarantined}");
 }
 
-/// The same words in any order, some twice, lead to the same.
+/// The same reports, in any order and some twice, lead to the same state.
 #[test]
-fn words_in_any_order_lead_to_the_same() {
+fn reports_in_any_order_lead_to_the_same_state() {
     let mut rng = ChaCha8Rng::seed_from_u64(72);
     for _ in 0..2_000 {
         let request = Fingerprint(1);
-        let words: Vec<CrashReport> = (0..rng.random_range(1..6))
+        let reports: Vec<CrashReport> = (0..rng.random_range(1..6))
             .map(|_| {
                 let crashed: BTreeSet<IncarnationId> = (0..rng.random_range(1..4))
                     .map(|_| IncarnationId(rng.random_range(0..6)))
@@ -135,13 +138,13 @@
             .collect();
         let mut one = CrashTracker::default();
         let mut other = CrashTracker::default();
-        words.iter().for_each(|word| _ = one.apply_report(word, at(1)));
-        words.iter().rev().for_each(|word| _ = other.apply_report(word, at(1)));
-        words.iter().for_each(|word| _ = other.apply_report(word, at(2)));
-        let runs = |book: &CrashTracker| {
-            book.report(request).map(|known| (known.crashed.clone(), known.excused.clone()))
+        reports.iter().for_each(|report| _ = one.apply_report(report, at(1)));
+        reports.iter().rev().for_each(|report| _ = other.apply_report(report, at(1)));
+        reports.iter().for_each(|report| _ = other.apply_report(report, at(2)));
+        let incarnations = |tracker: &CrashTracker| {
+            tracker.report(request).map(|known| (known.crashed.clone(), known.excused.clone()))
         };
-        assert_eq!(runs(&one), runs(&other));
+        assert_eq!(incarnations(&one), incarnations(&other));
         assert_eq!(one.is_quarantined(request), other.is_quarantined(request));
     }
 }
