--- a/trackfrontd/src/serving/boxes.rs
+++ b/trackfrontd/src/serving/boxes.rs
@@ -203,11 +203,11 @@
     }
     // The neighbours can be asked for other snapshots now; the full list may take longer.
     node.finish_first_listing();
-    let mut asked: Vec<Ipv4Addr> = boxes.iter().map(|listed| listed.ip).collect();
-    asked.retain(|ip| *ip != node.settings.load().node.ip);
-    asked.shuffle(&mut rand::rng());
-    asked.truncate(NEIGHBOURS_ASKED);
-    let boxes = exchange::fetch_boxes(node, &asked).await;
+    let mut sources: Vec<Ipv4Addr> = boxes.iter().map(|listed| listed.ip).collect();
+    sources.retain(|ip| *ip != node.settings.load().node.ip);
+    sources.shuffle(&mut rand::rng());
+    sources.truncate(NEIGHBOURS_ASKED);
+    let boxes = exchange::fetch_boxes(node, &sources).await;
     match boxes.filter(|boxes| apply_list(node, boxes)) {
         Some(_) if has_own_row => Start::Joined,
         _ if has_own_row => Start::Returned { is_small },
@@ -233,7 +233,7 @@
     Ok(rows)
 }
 
-/// Waits for the list of boxes, but no longer than reading from the platform would take.
+/// Waits for the list of boxes, but only for as long as that is faster than doing without it.
 pub async fn wait_for_box_list(node: &ServingNode) {
     if !node.settings.load().node.first_start {
         let ended = node.first_listing_finished();
