--- a/trackfront_core/src/serving/refusal_retries.rs
+++ b/trackfront_core/src/serving/refusal_retries.rs
@@ -1,88 +1,89 @@
-//! Which requests come back after a refusal, and how long ago their clients first tried.
+//! Detection of requests that clients send again after a refusal, and of the time since their first try.
 //!
-//! The pattern: more comes than a service bears, for seconds. Who is refused comes back, and who is let in then
-//! is late already: its place would have answered a first try in time. In a simulation of 234 calls a second before
-//! servers that bear 200, each refused client coming back once, 42 in 100 clients are answered in time if first
-//! tries and returns are let in alike, 63 if what is late already is let in only while little waits (trunk
-//! reservation); 12 and 13 in 100 go without (`tests/serving/returns`).
+//! When a service is overloaded for seconds, refused clients retry, and a retry that is admitted is already late: its
+//! capacity would have answered a first try in time. In a simulation of 234 calls a second at servers with a capacity
+//! of 200, where each refused client retries once, 42 in 100 clients are answered in time if first tries and retries
+//! are admitted alike, and 63 if retries are admitted only while the queue is short (trunk reservation); 12 and 13 in
+//! 100 get no answer (`tests/serving/refusal_retries`).
 //!
-//! A request does not say that its client tried before. But clients give the time that they still wait, and on
-//! most routes that begins at about the same value; one that has clearly less has spent the rest.
+//! A request does not say whether it is a retry. But clients send the time that they will still wait. On most routes
+//! this begins at about the same value, and a client with clearly less has spent the rest on earlier tries.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::units::Moment;
 
-/// The part of the longest time that clients of a route wait, from which on a request counts as a first try:
-/// clients do not all begin with quite the same.
-const FIRST_PART: f64 = 0.8;
+/// The fraction of a route's longest wait from which on a request counts as a first try: the waits of clients differ
+/// a little.
+const FIRST_TRY_WAIT_FRACTION: f64 = 0.8;
 
-/// The part of the requests of a route that has to be that near to the longest, or waits differ so much there
-/// that they tell nothing.
-const FIRST_SHARE: f64 = 0.5;
+/// The lowest fraction of first tries among the requests of a route. Below it, waits on the route differ too much to
+/// tell retries apart.
+const MIN_FIRST_TRY_FRACTION: f64 = 0.5;
 
-/// The weight of one request in what is known of a route.
+/// The weight of one request in the statistics of its route.
 const WEIGHT: f64 = 0.02;
 
-/// In what time the longest wait that was seen is forgotten by half, so that a route's clients may change.
+/// The time in which the longest observed wait of a route decays by half, so that its clients may change.
 const LONGEST_HALF_LIFE: Duration = Duration::from_secs(600);
 
-/// How many requests of a route have to be seen before any is taken for a return.
-const LEAST_SEEN: u32 = 20;
+/// The number of requests of a route before any is classified as a retry.
+const MIN_REQUESTS: u32 = 20;
 
-/// What is known of one route.
+/// The statistics of one route.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct RouteWaits {
     longest_ms: f64,
     /// The mean wait of first tries.
-    first_ms: f64,
-    /// The share of requests that are near the longest.
-    first_share: f64,
+    first_try_ms: f64,
+    /// The fraction of requests that count as first tries.
+    first_try_fraction: f64,
     requests: u32,
     at: Moment,
 }
 
-/// The waits of requests, by route.
+/// Tracks the waits of requests, by route.
 #[derive(Debug, Default)]
 pub struct RefusalRetries {
-    routes: HashMap<String, Seen>,
+    routes: HashMap<String, RouteWaits>,
 }
 
 impl RefusalRetries {
-    /// Takes in a request of a route whose client waits for `left` from now. Returns how long ago the client
-    /// first tried; zero if this is likely its first try, or if it cannot be told.
+    /// Records a request of a route whose client will wait for `left` from now. Returns how long ago the client first
+    /// tried; zero if this is probably its first try, or if that is unknown.
     pub fn record(&mut self, route: &str, left: Duration, now: Moment) -> Duration {
         if !self.routes.contains_key(route) {
-            self.routes.insert(route.to_owned(), Seen::default());
+            self.routes.insert(route.to_owned(), RouteWaits::default());
         }
-        let seen = self.routes.get_mut(route).expect("it was just put in");
-        seen.record(left.as_secs_f64() * 1_000.0, now)
+        let waits = self.routes.get_mut(route).expect("the entry was just inserted");
+        waits.record(left.as_secs_f64() * 1_000.0, now)
     }
 
-    /// Forgets routes that are not among `known`.
+    /// Drops routes that are not `known`.
     pub fn retain(&mut self, known: impl Fn(&str) -> bool) {
         self.routes.retain(|route, _| known(route));
     }
 }
 
-impl Seen {
+impl RouteWaits {
     fn record(&mut self, left_ms: f64, now: Moment) -> Duration {
-        let halves = now.since(self.at).as_secs_f64() / LONGEST_HALF_LIFE.as_secs_f64();
-        self.longest_ms = (self.longest_ms * 0.5f64.powf(halves)).max(left_ms);
+        let half_lives = now.since(self.at).as_secs_f64() / LONGEST_HALF_LIFE.as_secs_f64();
+        self.longest_ms = (self.longest_ms * 0.5f64.powf(half_lives)).max(left_ms);
         self.at = now;
         self.requests = self.requests.saturating_add(1);
-        let is_first = left_ms >= self.longest_ms * FIRST_PART;
-        // The first requests count more, so that the beginning is not taken for the rule.
+        let is_first_try = left_ms >= self.longest_ms * FIRST_TRY_WAIT_FRACTION;
+        // Early requests count more, so that the initial values fade quickly.
         let weight = WEIGHT.max(1.0 / f64::from(self.requests));
-        self.first_share += weight * (f64::from(u8::from(is_first)) - self.first_share);
-        if is_first {
-            self.first_ms += weight * (left_ms - self.first_ms);
+        self.first_try_fraction +=
+            weight * (f64::from(u8::from(is_first_try)) - self.first_try_fraction);
+        if is_first_try {
+            self.first_try_ms += weight * (left_ms - self.first_try_ms);
             return Duration::ZERO;
         }
-        if self.requests < LEAST_SEEN || self.first_share < FIRST_SHARE {
+        if self.requests < MIN_REQUESTS || self.first_try_fraction < MIN_FIRST_TRY_FRACTION {
             return Duration::ZERO;
         }
-        Duration::from_secs_f64((self.first_ms - left_ms).max(0.0) / 1_000.0)
+        Duration::from_secs_f64((self.first_try_ms - left_ms).max(0.0) / 1_000.0)
     }
 }
