--- a/trackfront_core/tests/serving/retry_budget.rs
+++ b/trackfront_core/tests/serving/retry_budget.rs
@@ -6,20 +6,20 @@
 
 const TERMS: BudgetTerms = BudgetTerms { ratio: 0.2, slack: 52.0, window: Duration::from_secs(10) };
 
-/// Counts what all of `nodes` nodes may send once more in any window of ten seconds, when each
-/// asks without end for a minute and gets a request each `every_ms`.
-fn worst_window(nodes: usize, every_ms: u64) -> (f64, f64) {
-    let mut budgets: Vec<_> = (0..nodes).map(|_| RetryBudgets::new(TERMS)).collect();
+/// Returns the excess over the ratio, and the retries, in the worst window of ten seconds, when each of the boxes takes
+/// all the retries that it can for a minute and gets a request every `every_ms`.
+fn worst_window(boxes: usize, every_ms: u64) -> (f64, f64) {
+    let mut budgets: Vec<_> = (0..boxes).map(|_| RetryBudgets::new(TERMS)).collect();
     let service = "s".into();
-    let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+    let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for ms in (0..60_000u64).step_by(10) {
         for budget in &mut budgets {
             if ms.is_multiple_of(every_ms) {
                 budget.count(&service, at(ms));
                 requests.push(ms);
             }
-            while budget.try_take(&service, nodes, at(ms)) {
-                repeats.push(ms);
+            while budget.try_take(&service, boxes, at(ms)) {
+                retries.push(ms);
             }
         }
     }
@@ -27,21 +27,21 @@
         times.iter().filter(|ms| (start..start + 10_000).contains(*ms)).count() as f64
     };
     (0..50_000).step_by(250).fold((0.0, 0.0), |worst: (f64, f64), start| {
-        let over = within(&repeats, start) - 0.2 * within(&requests, start);
-        if over > worst.0 { (over, within(&repeats, start)) } else { worst }
+        let over = within(&retries, start) - 0.2 * within(&requests, start);
+        if over > worst.0 { (over, within(&retries, start)) } else { worst }
     })
 }
 
 #[test]
-fn all_nodes_together_stay_under_the_budget_in_every_window() {
-    for (nodes, every_ms) in [(1, 10), (6, 100), (9, 1_000), (91, 400)] {
-        let (over, repeats) = worst_window(nodes, every_ms);
-        assert!(over <= 52.0, "{nodes} nodes: {repeats} repeats, {over} over the ratio");
+fn all_boxes_together_keep_the_budget_in_every_window() {
+    for (boxes, every_ms) in [(1, 10), (6, 100), (9, 1_000), (91, 400)] {
+        let (over, retries) = worst_window(boxes, every_ms);
+        assert!(over <= 52.0, "{boxes} boxes: {retries} retries, {over} over the ratio");
     }
 }
 
 #[test]
-fn a_service_without_requests_spends_no_other_ones_budget() {
+fn idle_service_has_no_budget() {
     let mut budgets = RetryBudgets::new(BudgetTerms { slack: 0.0, ..TERMS });
     for _ in 0..100 {
         budgets.count(&"busy".into(), at(0));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn new_terms_count_at_once() {
+fn new_terms_apply_at_once() {
     let mut budgets = RetryBudgets::new(TERMS);
     assert!(budgets.try_take(&"s".into(), 1, at(0)));
     budgets.set_terms(BudgetTerms { ratio: 0.0, slack: 0.0, ..TERMS });
