--- a/trackfront_core/src/serving/affinity.rs
+++ b/trackfront_core/src/serving/affinity.rs
@@ -1,8 +1,9 @@
-//! Which engines likely keep the start of a prompt, by this node's own routing.
+//! Prediction of which engines have the start of a prompt in their prefix caches, from the requests that this box
+//! sent them.
 //!
-//! A prompt is a list of parts; each prefix of it has a hash over the model and all parts up to
-//! it, so that two prompts share a prefix's hash only if they share everything before. Two
-//! generations of entries bound the memory: the older one is dropped when the newer one is full.
+//! A prompt is a list of parts. Each of its prefixes has a hash over the model and all parts up to there, so two
+//! prompts share the hash of a prefix only if they share everything before. Two generations of entries bound the
+//! memory: the older one is dropped when the newer one is full.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,14 +13,14 @@
 use crate::serving::request::{ModelRef, PromptPart};
 use crate::units::Moment;
 
-/// How many prefixes one generation holds; at about 100 bytes each this is 1 MB.
-const GENERATION: usize = 10_000;
+/// The most prefixes in one generation; at about 100 bytes each this is 1 MB.
+const MAX_GENERATION_PREFIXES: usize = 10_000;
 
-/// How long a prefix is taken to stay in an engine's memory after its last use.
-const KEPT_FOR: Duration = Duration::from_secs(30);
+/// How long a prefix is assumed to stay in an engine's cache after its last use.
+const PREFIX_TTL: Duration = Duration::from_secs(30);
 
-/// How many engines are remembered for one prefix.
-const ENGINES: usize = 16;
+/// The most engines that are remembered for one prefix.
+const MAX_PREFIX_ENGINES: usize = 16;
 
 /// One prefix of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,50 +47,49 @@
 
 type Generation = HashMap<u64, Vec<(BackendId, Moment)>>;
 
-/// The prefixes that engines likely keep.
+/// The prefixes that engines probably have in their caches.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
-    young: Generation,
-    old: Generation,
+    newer: Generation,
+    older: Generation,
 }
 
 impl PrefixIndex {
-    /// Returns how many tokens of a prompt `engine` likely keeps.
+    /// Returns the number of a prompt's tokens that are probably in the cache of `engine`.
     pub fn cached_tokens(&self, prefixes: &[Prefix], engine: &BackendId, now: Moment) -> u32 {
-        let kept = prefixes.iter().rev().find(|prefix| self.keeps(prefix.hash, engine, now));
-        kept.map_or(0, |prefix| prefix.tokens)
+        let cached = prefixes.iter().rev().find(|prefix| self.is_cached(prefix.hash, engine, now));
+        cached.map_or(0, |prefix| prefix.tokens)
     }
 
-    /// Notes that an engine reads a prompt.
+    /// Records the prefill of a prompt at an engine.
     pub fn record_prefill(&mut self, prefixes: &[Prefix], engine: &BackendId, now: Moment) {
         for prefix in prefixes {
-            self.note(prefix.hash, engine, now);
+            self.insert(prefix.hash, engine, now);
         }
     }
 
-    fn keeps(&self, hash: u64, engine: &BackendId, now: Moment) -> bool {
-        [&self.young, &self.old]
-            .into_iter()
-            .filter_map(|entries| entries.get(&hash))
-            .any(|kept| kept.iter().any(|(id, at)| id == engine && now.since(*at) < KEPT_FOR))
+    fn is_cached(&self, hash: u64, engine: &BackendId, now: Moment) -> bool {
+        [&self.newer, &self.older].into_iter().filter_map(|entries| entries.get(&hash)).any(
+            |engines| engines.iter().any(|(id, at)| id == engine && now.since(*at) < PREFIX_TTL),
+        )
     }
 
-    fn note(&mut self, hash: u64, engine: &BackendId, now: Moment) {
-        if !self.young.contains_key(&hash) {
-            if self.young.len() >= GENERATION {
-                self.old = std::mem::take(&mut self.young);
+    fn insert(&mut self, hash: u64, engine: &BackendId, now: Moment) {
+        if !self.newer.contains_key(&hash) {
+            if self.newer.len() >= MAX_GENERATION_PREFIXES {
+                self.older = std::mem::take(&mut self.newer);
             }
-            let moved = self.old.remove(&hash).unwrap_or_default();
-            self.young.insert(hash, moved);
+            let moved = self.older.remove(&hash).unwrap_or_default();
+            self.newer.insert(hash, moved);
         }
-        let kept = self.young.get_mut(&hash).expect("it was just put in");
-        match kept.iter_mut().find(|(id, _)| id == engine) {
+        let engines = self.newer.get_mut(&hash).expect("the entry was just inserted");
+        match engines.iter_mut().find(|(id, _)| id == engine) {
             Some((_, at)) => *at = now,
             None => {
-                if kept.len() >= ENGINES {
-                    kept.remove(0);
+                if engines.len() >= MAX_PREFIX_ENGINES {
+                    engines.remove(0);
                 }
-                kept.push((engine.clone(), now));
+                engines.push((engine.clone(), now));
             }
         }
     }
--- a/trackfront_core/tests/serving/affinity.rs
+++ b/trackfront_core/tests/serving/affinity.rs
@@ -9,40 +9,40 @@
 }
 
 #[test]
-fn only_what_is_shared_from_the_start_is_kept() {
-    let (mut memory, id) = (PrefixIndex::default(), BackendId::from("x"));
+fn only_a_shared_start_counts_as_cached() {
+    let (mut index, id) = (PrefixIndex::default(), BackendId::from("x"));
     let model = item("m", None);
-    memory.record_prefill(&prefixes(&model, &prompt(&[(1, 100), (2, 50), (3, 10)])), &id, at(0));
-    let cached = |memory: &PrefixIndex, model, parts| {
-        memory.cached_tokens(&prefixes(model, &prompt(parts)), &id, at(1_000))
+    index.record_prefill(&prefixes(&model, &prompt(&[(1, 100), (2, 50), (3, 10)])), &id, at(0));
+    let cached = |index: &PrefixIndex, model, parts| {
+        index.cached_tokens(&prefixes(model, &prompt(parts)), &id, at(1_000))
     };
-    assert_eq!(cached(&memory, &model, &[(1, 100), (2, 50), (9, 10)]), 150);
-    assert_eq!(cached(&memory, &model, &[(1, 100), (9, 50), (3, 10)]), 100);
-    assert_eq!(cached(&memory, &model, &[(2, 50), (1, 100)]), 0);
-    assert_eq!(cached(&memory, &item("m", Some("a1")), &[(1, 100)]), 0, "adapters differ");
+    assert_eq!(cached(&index, &model, &[(1, 100), (2, 50), (9, 10)]), 150);
+    assert_eq!(cached(&index, &model, &[(1, 100), (9, 50), (3, 10)]), 100);
+    assert_eq!(cached(&index, &model, &[(2, 50), (1, 100)]), 0);
+    assert_eq!(cached(&index, &item("m", Some("a1")), &[(1, 100)]), 0, "adapters differ");
     let other = prefixes(&model, &prompt(&[(1, 100)]));
-    assert_eq!(memory.cached_tokens(&other, &BackendId::from("y"), at(1_000)), 0);
+    assert_eq!(index.cached_tokens(&other, &BackendId::from("y"), at(1_000)), 0);
 }
 
 #[test]
-fn what_was_not_used_for_long_is_taken_for_dropped() {
-    let (mut memory, id) = (PrefixIndex::default(), BackendId::from("x"));
+fn unused_prefix_expires() {
+    let (mut index, id) = (PrefixIndex::default(), BackendId::from("x"));
     let found = prefixes(&item("m", None), &prompt(&[(1, 100)]));
-    memory.record_prefill(&found, &id, at(0));
-    assert_eq!(memory.cached_tokens(&found, &id, at(29_000)), 100);
-    assert_eq!(memory.cached_tokens(&found, &id, at(31_000)), 0);
+    index.record_prefill(&found, &id, at(0));
+    assert_eq!(index.cached_tokens(&found, &id, at(29_000)), 100);
+    assert_eq!(index.cached_tokens(&found, &id, at(31_000)), 0);
 }
 
 #[test]
-fn the_memory_is_bounded_and_forgets_the_oldest() {
-    let (mut memory, id) = (PrefixIndex::default(), BackendId::from("x"));
+fn memory_is_bounded_and_drops_the_oldest() {
+    let (mut index, id) = (PrefixIndex::default(), BackendId::from("x"));
     let model = item("m", None);
     for part in 0..50_000 {
-        memory.record_prefill(&prefixes(&model, &prompt(&[(part, 1)])), &id, at(0));
+        index.record_prefill(&prefixes(&model, &prompt(&[(part, 1)])), &id, at(0));
     }
     let kept = (0..50_000).filter(|part| {
-        memory.cached_tokens(&prefixes(&model, &prompt(&[(*part, 1)])), &id, at(0)) > 0
+        index.cached_tokens(&prefixes(&model, &prompt(&[(*part, 1)])), &id, at(0)) > 0
     });
     assert!(kept.count() <= 20_000);
-    assert_eq!(memory.cached_tokens(&prefixes(&model, &prompt(&[(49_999, 1)])), &id, at(0)), 1);
+    assert_eq!(index.cached_tokens(&prefixes(&model, &prompt(&[(49_999, 1)])), &id, at(0)), 1);
 }
