--- a/trackfront_core/src/serving/forecast.rs
+++ b/trackfront_core/src/serving/forecast.rs
@@ -1,28 +1,29 @@
-//! How far estimated times were off lately, and so how likely an answer is in time.
+//! The errors of recent time estimates, and from them the probability that an answer is in time.
 //!
-//! Estimates are made of what a box knows, which is never all. What came in place of what was expected
-//! is counted, so that a limit of an estimate says how many of those that are let in will be in time;
-//! without that it is a guess whether an estimate just under the limit is a good or a poor risk.
+//! Estimates are based on a box's incomplete knowledge. A histogram of the ratios of actual to estimated
+//! times gives the fraction of admitted requests that will be in time; without it, the risk of an
+//! estimate just under the limit would be a guess.
 
-/// The finest difference that is told: a quarter of a doubling.
-const BINS_A_DOUBLING: f64 = 4.0;
+/// The resolution: a quarter of a doubling.
+const BINS_PER_DOUBLING: f64 = 4.0;
 
-/// How many doublings off an estimate may be, in either direction, to be told from one still further off.
-const DOUBLINGS: f64 = 4.0;
+/// The range: how many doublings an estimate may be off in either direction. Larger errors share the
+/// outermost bins.
+const MAX_DOUBLINGS: f64 = 4.0;
 
-const BINS: usize = (2.0 * DOUBLINGS * BINS_A_DOUBLING) as usize + 1;
+const BINS: usize = (2.0 * MAX_DOUBLINGS * BINS_PER_DOUBLING) as usize + 1;
 
-/// What an earlier answer still counts when the next has come: the last 200 or so count.
-const KEPT_PART: f64 = 0.995;
+/// The factor on the weight of earlier answers with each new one: the last 200 or so count.
+const DECAY_PER_ANSWER: f64 = 0.995;
 
-/// The answers that stand for estimates that are right before any came.
-const PRIOR: f64 = 10.0;
+/// The weight of exact estimates that are assumed before the first answer.
+const PRIOR_WEIGHT: f64 = 10.0;
 
-/// Differences below this say nothing of an estimate, in milliseconds: the way through the network and
-/// the wake-ups of processes take as long.
+/// Added to both times, in milliseconds, because smaller differences are no error of the estimate:
+/// network delay and process wake-ups take as long.
 const FLOOR_MS: f64 = 20.0;
 
-/// What came in place of what was expected, the latest with the most weight.
+/// The ratios of actual to expected times, the latest with the most weight.
 #[derive(Clone, Debug)]
 pub struct Forecast {
     bins: [f64; BINS],
@@ -31,39 +32,39 @@
 impl Default for Forecast {
     fn default() -> Self {
         let mut bins = [0.0; BINS];
-        bins[bin(0.0, 0.0)] = PRIOR;
+        bins[bin(0.0, 0.0)] = PRIOR_WEIGHT;
         Self { bins }
     }
 }
 
-/// Returns the place of what came against what was expected.
-fn bin(expected_ms: f64, came_ms: f64) -> usize {
-    let doublings = ((came_ms + FLOOR_MS) / (expected_ms + FLOOR_MS)).log2();
-    let place = (doublings.clamp(-DOUBLINGS, DOUBLINGS) + DOUBLINGS) * BINS_A_DOUBLING;
-    place.round() as usize
+/// Returns the bin of an actual time, by the expected one.
+fn bin(expected_ms: f64, actual_ms: f64) -> usize {
+    let doublings = ((actual_ms + FLOOR_MS) / (expected_ms + FLOOR_MS)).log2();
+    let clamped = doublings.clamp(-MAX_DOUBLINGS, MAX_DOUBLINGS);
+    ((clamped + MAX_DOUBLINGS) * BINS_PER_DOUBLING).round() as usize
 }
 
 impl Forecast {
-    /// Notes that what was expected to take `expected_ms` took `came_ms`.
-    pub fn record(&mut self, expected_ms: f64, came_ms: f64) {
+    /// Records that an answer expected after `expected_ms` came after `actual_ms`.
+    pub fn record(&mut self, expected_ms: f64, actual_ms: f64) {
         for count in &mut self.bins {
-            *count *= KEPT_PART;
+            *count *= DECAY_PER_ANSWER;
         }
-        self.bins[bin(expected_ms, came_ms)] += 1.0;
+        self.bins[bin(expected_ms, actual_ms)] += 1.0;
     }
 
-    /// Returns how likely it is that what is expected to take `expected_ms` takes at most `limit_ms`,
-    /// from 0 to 1.
+    /// Returns the probability, from 0 to 1, that an answer expected after `expected_ms` comes within
+    /// `limit_ms`.
     pub fn within(&self, expected_ms: f64, limit_ms: f64) -> f64 {
         let last = bin(expected_ms, limit_ms);
         let within: f64 = self.bins[..last].iter().sum();
-        // Of those in the same bin half are taken to be within.
+        // Half of the limit's own bin counts as within.
         (within + self.bins[last] / 2.0) / self.bins.iter().sum::<f64>()
     }
 }
 
-/// How far off estimates were, apart for what is estimated in another way: first events or plain calls,
-/// with a free slot or without.
+/// The estimate errors of first events and of calls to plain services, each with a free slot and without:
+/// these are estimated differently.
 #[derive(Debug, Default)]
 pub struct Forecasts {
     first_events: [Forecast; 2],
@@ -71,7 +72,7 @@
 }
 
 impl Forecasts {
-    /// Returns the one for first events or plain calls, with a free slot or without.
+    /// Returns the forecast for first events or plain calls, with a free slot or without.
     pub fn of(&mut self, of_model: bool, has_slot: bool) -> &mut Forecast {
         let forecasts = if of_model { &mut self.first_events } else { &mut self.calls };
         &mut forecasts[usize::from(has_slot)]
--- a/trackfront_core/tests/serving/forecast.rs
+++ b/trackfront_core/tests/serving/forecast.rs
@@ -1,14 +1,14 @@
 use trackfront_core::serving::forecast::Forecast;
 
 #[test]
-fn estimates_are_taken_for_right_until_something_came() {
+fn estimates_count_as_exact_before_any_answer() {
     let forecast = Forecast::default();
     assert!(forecast.within(100.0, 200.0) > 0.99);
     assert!(forecast.within(200.0, 100.0) < 0.01);
 }
 
 #[test]
-fn what_came_twice_too_late_is_expected_to_come_so_again() {
+fn systematic_delay_is_expected_again() {
     let mut forecast = Forecast::default();
     for _ in 0..2_000 {
         forecast.record(100.0, 200.0);
@@ -18,17 +18,17 @@
 }
 
 #[test]
-fn the_share_in_time_is_that_of_those_that_were() {
+fn probability_is_the_fraction_that_was_in_time() {
     let mut forecast = Forecast::default();
     for round in 0..4_000 {
         forecast.record(100.0, if round % 4 == 0 { 600.0 } else { 80.0 });
     }
-    let share = forecast.within(100.0, 200.0);
-    assert!((share - 0.75).abs() < 0.05, "{share}");
+    let probability = forecast.within(100.0, 200.0);
+    assert!((probability - 0.75).abs() < 0.05, "{probability}");
 }
 
 #[test]
-fn some_milliseconds_on_an_idle_server_are_no_error() {
+fn few_milliseconds_on_an_idle_server_are_no_error() {
     let mut forecast = Forecast::default();
     for _ in 0..2_000 {
         forecast.record(1.0, 6.0);
