--- a/trackfront_core/tests/serving/adapter_use.rs
+++ b/trackfront_core/tests/serving/adapter_use.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_peers_told_counts_for_a_while() {
+fn peer_reports_expire_and_are_replaced() {
     let mut adapters = AdapterUse::default();
     let (server, first, second) = ("x".into(), item("m", Some("a1")), item("m", Some("a2")));
     adapters.apply_peer_report(1, BTreeSet::from([(BackendId::from("x"), first.clone())]), at(0));
