--- a/trackfront_core/src/serving/sampling.rs
+++ b/trackfront_core/src/serving/sampling.rs
@@ -1,8 +1,8 @@
-//! A few servers at random instead of all, for a box that does not know what the others send where.
+//! Random sampling of servers, for a box that does not know the load of the others ("power of two choices").
 //!
-//! Where each of many boxes takes what looks least loaded to it, they take the same server, and what one knows of the
-//! load is old by the time that it acts on it. Two at random, the better of which is taken, spread the requests of
-//! boxes that know nothing of each other almost as evenly as one that knows all.
+//! If each of many boxes chose the least loaded of all servers, they would all choose the same one, by load figures that
+//! are outdated when they act on them. Choosing the better of two random servers spreads the requests of boxes that know
+//! nothing of each other almost as evenly as one box with full knowledge would.
 
 use std::sync::Arc;
 
@@ -12,10 +12,10 @@
 use crate::ids::HallName;
 use crate::serving::directory::KnownServer;
 
-/// How many servers are compared.
-const COMPARED: usize = 2;
+/// The number of servers in a sample.
+const SAMPLE_SIZE: usize = 2;
 
-/// Returns a few of the servers that are `usable`, of those in the box's own hall if there are any.
+/// Returns a random sample of the `usable` servers, only of those in `hall` if it has any.
 pub fn sample_servers<'a>(
     servers: impl Iterator<Item = &'a Arc<KnownServer>>,
     hall: &HallName,
@@ -23,8 +23,8 @@
     rng: &mut impl Rng,
 ) -> Vec<&'a Arc<KnownServer>> {
     let usable: Vec<&Arc<KnownServer>> = servers.filter(|server| usable(server)).collect();
-    let near: Vec<&Arc<KnownServer>> =
+    let in_hall: Vec<&Arc<KnownServer>> =
         usable.iter().filter(|server| server.entry.hall == *hall).copied().collect();
-    let from = if near.is_empty() { usable } else { near };
-    from.sample(rng, COMPARED).copied().collect()
+    let candidates = if in_hall.is_empty() { usable } else { in_hall };
+    candidates.sample(rng, SAMPLE_SIZE).copied().collect()
 }
