--- a/trackfront_core/src/serving/fingerprint.rs
+++ b/trackfront_core/src/serving/fingerprint.rs
@@ -1,7 +1,7 @@
-//! What a request is apart from the identifier of one try.
+//! Fingerprints of requests, which identify a request across retries.
 //!
-//! A client that tries again, at any box, sends the same request under a new identifier. Its fingerprint is the same
-//! again: a hash of what a server gets to see of it.
+//! A client that retries, at any box, sends the same request under a new identifier. Its fingerprint stays the same: a
+//! hash over the parts of the request that a server gets.
 
 use std::fmt;
 
@@ -15,12 +15,12 @@
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// Returns the fingerprint of a request; `path` has the query as well.
+    /// Returns the fingerprint of a request; `path` includes the query.
     pub fn new(method: &str, path: &str, account: Option<&AccountName>, body: &[u8]) -> Self {
         let account = account.map_or("", AccountName::as_str);
         let mut hasher = blake3::Hasher::new();
         for part in [method, path, account] {
-            // Each part's length goes first, so that no two requests have the same bytes.
+            // The length before each part keeps different requests from hashing the same bytes.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part.as_bytes());
         }
