--- a/trackfront_core/tests/serving/support.rs
+++ b/trackfront_core/tests/serving/support.rs
@@ -1,4 +1,4 @@
-//! Small builders that the tests share.
+//! Builders of test data that the tests share.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use trackfront_core::serving::request::{ModelRef, RequestInfo};
 use trackfront_core::units::Moment;
 
-/// How often servers write their rows.
+/// The interval at which servers write their rows.
 pub const HEARTBEAT: Duration = Duration::from_secs(1);
 
 pub fn at(ms: u64) -> Moment {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns servers as a directory knows them that learned of all at once.
+/// Returns the servers of a directory that learned of all of them at once.
 pub fn known(entries: Vec<ServerEntry>) -> Vec<Arc<KnownServer>> {
     let mut directory = Directory::new(HEARTBEAT);
     let service = entries[0].service.clone();
@@ -82,7 +82,7 @@
     }
 }
 
-/// Engines of 220 GB for models of 70 GB, so that three fit.
+/// Returns an engine with 220 GB of memory, where three models of 70 GB fit.
 pub fn spec(models: &[&str], adapters: usize, adapter_slots: u32) -> EngineSpec {
     let model = |name: &&str| {
         let adapters = (1..=adapters).map(|number| AdapterName::from(format!("a{number}")));
