--- a/trackfront_core/src/serving/choice.rs
+++ b/trackfront_core/src/serving/choice.rs
@@ -181,7 +181,7 @@
     for server in servers {
         let id = &server.entry.id;
         let leaving = view.leaving_since(id);
-        if loads.is_replaced(id) || !takes_requests(server, leaving, query) {
+        if loads.is_replaced(id) || !accepts_requests(server, leaving, query) {
             continue;
         }
         if !query.places.allow(&server.entry.hall) {
@@ -220,7 +220,7 @@
 
 /// Returns whether a server accepts requests. A draining row and a leaving notice count alike, from the
 /// earlier of the two.
-fn takes_requests(server: &KnownServer, leaving: Option<Moment>, query: &Query<'_>) -> bool {
+fn accepts_requests(server: &KnownServer, leaving: Option<Moment>, query: &Query<'_>) -> bool {
     let Some(since) = server.draining_since.into_iter().chain(leaving).min() else {
         return true;
     };
--- a/trackfront_core/tests/serving/cold.rs
+++ b/trackfront_core/tests/serving/cold.rs
@@ -76,7 +76,8 @@
 #[test]
 fn boxes_with_outdated_list_keep_the_bound() {
     // The last 30 of 1,000 boxes joined late; 40 boxes are partitioned and do not know them.
-    let known: Vec<u32> = (0..1_000).map(|one| if one % 25 == 0 { 970 } else { 1_000 }).collect();
+    let known: Vec<u32> =
+        (0..1_000).map(|index| if index % 25 == 0 { 970 } else { 1_000 }).collect();
     for seed in 0..3 {
         let (largest, _) = flood(&mut boxes(&known), 20, START, TOLERANCE, seed);
         assert!(
--- a/trackfront_core/tests/serving/permits.rs
+++ b/trackfront_core/tests/serving/permits.rs
@@ -55,7 +55,7 @@
 /// A strategy by which boxes send to the server.
 trait Strategy {
     /// Handles a request that arrives at a box. Returns whether it is sent now.
-    fn request_arrives(&mut self, at: usize, now_ms: u64) -> bool;
+    fn request_arrives(&mut self, index: usize, now_ms: u64) -> bool;
 
     /// Advances to `now_ms`. Returns how many requests are sent that waited for another box.
     fn step(&mut self, now_ms: u64) -> usize;
@@ -69,15 +69,15 @@
     seed: u64,
 ) -> Observed {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let wanting: Vec<usize> = (0..boxes).step_by(demand.every_nth).collect();
+    let requesting: Vec<usize> = (0..boxes).step_by(demand.every_nth).collect();
     let (mut window, mut worst, mut measured) = (VecDeque::new(), 0, 0);
     for ms in (0..RUN_MS).step_by(STEP_MS as usize) {
         let mut sent = strategy.step(ms);
         let mut expected = demand.per_s * STEP_MS as f64 / 1_000.0;
         while expected > 0.0 {
             if rng.random::<f64>() < expected {
-                let one = wanting[rng.random_range(0..wanting.len())];
-                sent += usize::from(strategy.request_arrives(one, ms));
+                let index = requesting[rng.random_range(0..requesting.len())];
+                sent += usize::from(strategy.request_arrives(index, ms));
             }
             expected -= 1.0;
         }
@@ -115,8 +115,8 @@
 }
 
 impl Strategy for FixedSenders {
-    fn request_arrives(&mut self, one: usize, now_ms: u64) -> bool {
-        let (tracker, now) = (&mut self.trackers[one], at(now_ms));
+    fn request_arrives(&mut self, index: usize, now_ms: u64) -> bool {
+        let (tracker, now) = (&mut self.trackers[index], at(now_ms));
         let until = now + self.start.lasts;
         tracker.state(&server(), self.start, self.terms, until, now) == ColdState::Admitting
             && tracker.try_take(&server(), self.start, self.terms, now)
@@ -164,10 +164,10 @@
         self.up[from] && self.up[to] && self.group[from] == self.group[to]
     }
 
-    /// Returns the boxes that `one` considers up.
-    fn known_up(&self, one: usize) -> Vec<usize> {
+    /// Returns the boxes that `index` considers up.
+    fn known_up(&self, index: usize) -> Vec<usize> {
         let all = 0..self.gates.len();
-        all.filter(|other| !self.knows_groups || self.reaches(one, *other)).collect()
+        all.filter(|other| !self.knows_groups || self.reaches(index, *other)).collect()
     }
 
     fn issue(&mut self, coordinator: usize, is_standby: bool, now: Moment) -> PermitAnswer {
@@ -178,40 +178,42 @@
 }
 
 impl Strategy for Coordinators {
-    fn request_arrives(&mut self, one: usize, now_ms: u64) -> bool {
+    fn request_arrives(&mut self, index: usize, now_ms: u64) -> bool {
         let now = at(now_ms);
-        if !self.up[one] || self.gates[one].closed_until(&server(), now).is_some() {
+        if !self.up[index] || self.gates[index].closed_until(&server(), now).is_some() {
             return false;
         }
-        let boxes = self.known_up(one).into_iter().map(|other| BoxId(other as u32));
-        let Some(coordinator) = self.gates[one].coordinator(SERVER_KEY, boxes, now) else {
-            self.gates[one].close_without_coordinator(&server(), now);
+        let boxes = self.known_up(index).into_iter().map(|other| BoxId(other as u32));
+        let Some(coordinator) = self.gates[index].coordinator(SERVER_KEY, boxes, now) else {
+            self.gates[index].close_without_coordinator(&server(), now);
             return false;
         };
         let to = coordinator.id.0 as usize;
-        let answer = self.reaches(one, to).then(|| self.issue(to, coordinator.is_standby, now));
-        let (wait_ms, messages) = match (to == one, answer.is_some()) {
+        let answer = self.reaches(index, to).then(|| self.issue(to, coordinator.is_standby, now));
+        let (wait_ms, messages) = match (to == index, answer.is_some()) {
             (true, _) => (0, 0),
             (false, true) => (2 * STEP_MS, 2),
             (false, false) => (ANSWER_TIME_MS, 1),
         };
         self.messages += messages;
         let due = self.answers.entry(now_ms + wait_ms.max(STEP_MS)).or_default();
-        due.push((one, answer, coordinator.id));
+        due.push((index, answer, coordinator.id));
         false
     }
 
     fn step(&mut self, now_ms: u64) -> usize {
         let now = at(now_ms);
         let mut sent = 0;
-        for (one, answer, coordinator) in self.answers.remove(&now_ms).unwrap_or_default() {
+        for (index, answer, coordinator) in self.answers.remove(&now_ms).unwrap_or_default() {
             match answer {
                 Some(PermitAnswer::GrantedIn(wait)) => {
                     let wait_ms = wait.as_millis() as u64 / STEP_MS * STEP_MS;
                     *self.due.entry(now_ms + wait_ms).or_default() += 1;
                 }
-                Some(PermitAnswer::NotBefore(wait)) => self.gates[one].close(&server(), wait, now),
-                None => self.gates[one].mark_unresponsive(coordinator, now),
+                Some(PermitAnswer::NotBefore(wait)) => {
+                    self.gates[index].close(&server(), wait, now)
+                }
+                None => self.gates[index].mark_unresponsive(coordinator, now),
             }
         }
         while let Some(first) = self.due.first_entry().filter(|first| *first.key() <= now_ms) {
@@ -268,25 +270,28 @@
 fn partitioned_boxes_keep_the_limit_together() {
     for boxes in [6, 90] {
         for limit in LIMITS {
-            for cut_at in 1..=boxes.min(6) {
+            for split in 1..=boxes.min(6) {
                 let mut strategy = Coordinators::new(boxes, limit);
                 // Some boxes are partitioned, which all boxes notice with a delay, as they do the end of the partition.
                 let demand = Demand { every_nth: 1, per_s: limit * 3.0 + 5.0 };
                 let mut observed = Vec::new();
-                for (cut, known) in [(false, false), (true, false), (true, true), (false, true)] {
-                    for one in 0..boxes {
-                        strategy.group[one] = u32::from(cut && one < cut_at * boxes / 7);
+                for (is_partitioned, known) in
+                    [(false, false), (true, false), (true, true), (false, true)]
+                {
+                    for index in 0..boxes {
+                        strategy.group[index] =
+                            u32::from(is_partitioned && index < split * boxes / 7);
                     }
                     strategy.knows_groups = known;
                     strategy.answers.clear();
                     strategy.due.clear();
                     observed
-                        .push(simulate(&mut strategy, boxes, limit, demand, cut_at as u64).worst);
+                        .push(simulate(&mut strategy, boxes, limit, demand, split as u64).worst);
                 }
                 let worst = *observed.iter().max().expect("four spans");
                 assert!(
                     worst as f64 <= bound(limit),
-                    "{boxes} boxes, {limit}, {cut_at}: {observed:?}"
+                    "{boxes} boxes, {limit}, {split}: {observed:?}"
                 );
             }
         }
