--- a/trackfront_core/src/serving/crashes/mod.rs
+++ b/trackfront_core/src/serving/crashes/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A client may send such a request again under a new identifier, to any box, so it is identified by its [`Fingerprint`].
 //! For each request the incarnations of servers that ended while running it are tracked. Sets of incarnations merge in
-//! any order and any number of times, which a counter doesn't: two boxes may report the same crash.
+//! any order and any number of times, which a counter does not: two boxes may report the same crash.
 //!
 //! A connection that breaks under a request is not a crash yet: links are reset, and servers break off answers. It counts
 //! as one once the server's incarnation is found to have ended. All requests that ran beside the cause are suspected as
@@ -104,7 +104,7 @@
 
 impl CrashTracker {
     /// Records that the connection to an incarnation of a server broke under a request. Returns the change. The caller
-    /// should check whether an incarnation has ended that isn't known to have.
+    /// should check whether an incarnation has ended that is not known to have.
     pub fn connection_broke(
         &mut self,
         fingerprint: Fingerprint,
--- a/trackfront_core/src/serving/load.rs
+++ b/trackfront_core/src/serving/load.rs
@@ -20,7 +20,7 @@
 /// How long a server's report of its load is valid.
 const SERVER_REPORT_TTL: Duration = Duration::from_millis(1_000);
 
-/// How long a server's report of its pace is valid: the server reports its machine with others, so the
+/// How long a server's report of its pace is valid: the server shares its machine with others, so the
 /// pace changes many times a second.
 const PACE_TTL: Duration = Duration::from_millis(400);
 
