--- a/trackfrontd/src/serving/peer_tracker.rs
+++ b/trackfrontd/src/serving/peer_tracker.rs
@@ -55,8 +55,7 @@
     listing: ListedBox,
     store_lost: bool,
     announcement: Option<LeaseAnnouncement>,
-    /// Since when the box should send digests to this one, if that began before its first digest
-    /// arrived.
+    /// Since when the box has been expected to send digests to this one.
     expected_since: Option<Moment>,
     /// Whether the box should have sent digests to this one but did not.
     is_missing: bool,
