--- a/trackfront_core/src/ports/knowledge.rs
+++ b/trackfront_core/src/ports/knowledge.rs
@@ -45,7 +45,7 @@
 
 /// What the operator wrote.
 #[derive(Clone, Debug, PartialEq)]
-pub enum OperatorWord {
+pub enum OperatorUpdate {
     /// A configuration.
     Config(StoredConfig),
     /// That the servers of a hall are to get nothing, or are used again.
@@ -56,14 +56,14 @@
 #[async_trait]
 pub trait Knowledge: Send + Sync {
     /// Reads the configuration, if one was stored yet, and the halls that are emptied.
-    async fn read_operator(&self) -> Result<Listing<OperatorWord>, TableError>;
+    async fn read_operator(&self) -> Result<Listing<OperatorUpdate>, TableError>;
 
     /// Waits at most `wait` for what the operator writes after `version`.
     async fn follow_operator(
         &self,
         version: u64,
         wait: Duration,
-    ) -> Result<Feed<OperatorWord>, TableError>;
+    ) -> Result<Feed<OperatorUpdate>, TableError>;
 
     /// Returns whether the row of the configuration still has version `row`, as of a moment after the call:
     /// a feed may be silent while changes are made, so its silence does not show that.
--- a/trackfront_core/src/ports/mod.rs
+++ b/trackfront_core/src/ports/mod.rs
@@ -18,7 +18,7 @@
     CacheEvent, CacheEvents, Engine, EngineError, Frame, FrameBody, FrameStream, GenerateError,
     GenerateRequest, KvBlob, LoadReport, OrderReply, ReportedItem, ReportedState, StartFrom,
 };
-pub use knowledge::{Feed, Knowledge, Listing, OperatorWord, StoredConfig};
+pub use knowledge::{Feed, Knowledge, Listing, OperatorUpdate, StoredConfig};
 pub use objects::{ObjectError, Objects};
 pub use peers::{PeerError, Peers};
 pub use plain::{PlainCall, PlainError, PlainReply, PlainService};
--- a/trackfrontd/src/serving/follow/config.rs
+++ b/trackfrontd/src/serving/follow/config.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use tokio::time::sleep;
-use trackfront_core::ports::{Feed, Listing, OperatorWord, StoredConfig};
+use trackfront_core::ports::{Feed, Listing, OperatorUpdate, StoredConfig};
 use trackfront_core::serving::halls::HallStatus;
 
 use super::Source;
@@ -91,8 +91,8 @@
             let mut halls = Vec::new();
             for (_, row) in rows {
                 match row {
-                    OperatorWord::Hall(status) => halls.push(status),
-                    OperatorWord::Config(stored) => {
+                    OperatorUpdate::Hall(status) => halls.push(status),
+                    OperatorUpdate::Config(stored) => {
                         let row = stored.row_version;
                         apply(node, stored);
                         node.config_freshness.confirm(row, asked_at);
@@ -138,8 +138,8 @@
                 let mut has_hall_changes = false;
                 for row in changes {
                     match row {
-                        OperatorWord::Config(stored) => apply(node, stored),
-                        OperatorWord::Hall(status) => {
+                        OperatorUpdate::Config(stored) => apply(node, stored),
+                        OperatorUpdate::Hall(status) => {
                             has_hall_changes |=
                                 apply_hall_statuses(node, &[status], Source::Platform);
                         }
