--- a/trackfront_core/src/ports/clock.rs
+++ b/trackfront_core/src/ports/clock.rs
@@ -9,12 +9,12 @@
 /// The local clock. Only differences of [`Moment`]s are used for decisions.
 #[async_trait]
 pub trait Clock: Send + Sync {
-    /// Returns the present moment; it never goes back.
+    /// Returns the current monotonic time.
     fn now(&self) -> Moment;
 
     /// Returns the wall-clock time, for logs and the audit trail only.
     fn unix(&self) -> UnixMillis;
 
-    /// Waits for `duration`; it may wait longer, never shorter.
+    /// Sleeps for at least `duration`.
     async fn sleep(&self, duration: Duration);
 }
--- a/trackfront_core/src/ports/engine.rs
+++ b/trackfront_core/src/ports/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine.
+//! The interface to a model engine.
 
 use std::time::Duration;
 
@@ -22,40 +22,41 @@
     Chat,
 }
 
-/// A request for text, sent to one engine.
+/// A text generation request to one engine.
 #[derive(Clone, Debug)]
 pub struct GenerateRequest {
     /// The identifier that every frame of the answer carries.
     pub id: RequestId,
-    /// Which interface.
+    /// The engine's interface to use.
     pub kind: GenerateKind,
     /// The model or adapter version to use.
     pub item: ItemKey,
-    /// The priority; a larger number goes first.
+    /// The priority; requests with a larger number are scheduled first.
     pub priority: u8,
-    /// The caller's body as it came.
+    /// The caller's request body, unchanged.
     pub body: Bytes,
     /// Whether the caller asked for a stream.
     pub stream: bool,
-    /// From where the answer is wanted.
+    /// The point from which to send the answer.
     pub from: StartFrom,
 }
 
-/// From where an answer is wanted.
+/// The point from which an engine sends an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartFrom {
-    /// From its start.
+    /// The whole answer.
     Start,
-    /// From a frame of a stream that the engine has.
+    /// Resumes a stream that this engine already has, from a given frame.
     Resume {
-        /// The offset of the first frame wanted.
+        /// The offset of the first frame to send.
         offset: u64,
     },
-    /// From where another engine broke off: this engine goes on from the text delivered.
+    /// Continues, on this engine, an answer that another engine broke off after the text
+    /// delivered so far.
     Continue {
-        /// The offset of the first frame wanted.
+        /// The offset of the first frame to send.
         offset: u64,
-        /// The frames' data delivered so far, as the other engine sent them.
+        /// The data of the frames delivered so far, as the other engine sent it.
         delivered: Vec<Bytes>,
     },
 }
@@ -63,21 +64,21 @@
 /// One piece of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// The request that the engine says this answers.
+    /// The request that this frame answers, as stated by the engine.
     pub request: RequestId,
-    /// The place of the frame in the answer, from zero without gaps.
+    /// The index of the frame in the answer, starting at zero and without gaps.
     pub offset: u64,
     /// The content.
     pub body: FrameBody,
 }
 
 impl Frame {
-    /// Makes a frame with data.
+    /// Creates a data frame.
     pub fn data(request: RequestId, offset: u64, data: Bytes) -> Self {
         Self { request, offset, body: FrameBody::Data(data) }
     }
 
-    /// Makes the frame that ends an answer.
+    /// Creates the frame that ends an answer.
     pub fn end(request: RequestId, offset: u64) -> Self {
         Self { request, offset, body: FrameBody::End }
     }
@@ -93,7 +94,7 @@
 pub enum FrameBody {
     /// A piece of the answer, passed to the caller as it is.
     Data(Bytes),
-    /// The answer is whole.
+    /// The end of the answer, which is now complete.
     End,
 }
 
@@ -101,22 +102,22 @@
 /// repeat or delay frames, or mix in another request's.
 pub type FrameStream = BoxStream<'static, Result<Frame, GenerateError>>;
 
-/// Why there is no answer, or no more of it.
+/// An error that prevents or interrupts an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum GenerateError {
     /// Nothing was sent: the engine could not be reached.
     #[error("the engine cannot be reached: {0}; another engine may be tried")]
     Unreachable(String),
-    /// The engine said that it did not run the request.
+    /// The engine refused the request and did not run it.
     #[error("the engine refused with status {status}: {detail}")]
     Refused {
         /// The HTTP status.
         status: u16,
-        /// The start of its answer.
+        /// The beginning of the response body.
         detail: String,
-        /// Whether the request itself is at fault, so that no other engine will take it.
+        /// Whether the request itself is invalid, so that every other engine would refuse it too.
         final_refusal: bool,
-        /// For how long it wants no requests from this box, if it says so.
+        /// How long this box should send no requests, if the engine says so.
         back_off: Option<Duration>,
     },
     /// The request was sent and the answer broke off.
@@ -125,7 +126,7 @@
 }
 
 impl GenerateError {
-    /// Returns what is known about the run.
+    /// Returns whether the request may have run.
     pub fn outcome(&self) -> Outcome {
         match self {
             GenerateError::Unreachable(_) | GenerateError::Refused { .. } => Outcome::NotRun,
@@ -134,91 +135,92 @@
     }
 }
 
-/// What an engine says of an item in its memory.
+/// The state of an item in an engine's memory, as reported by the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReportedState {
-    /// The weights are being loaded; the memory is taken.
+    /// The weights are being loaded; their memory is already reserved.
     Loading,
-    /// The item answers requests.
+    /// The item can serve requests.
     Ready,
-    /// The weights are going; the memory is still taken.
+    /// The weights are being unloaded; their memory is still in use.
     Unloading,
 }
 
-/// An item in an engine's memory, by its own report.
+/// An item in an engine's memory, as reported by the engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedItem {
     /// The item.
     pub item: ItemKey,
     /// Its state.
     pub state: ReportedState,
-    /// The memory that it takes on each accelerator.
+    /// The memory that the item uses on each accelerator.
     pub per_accelerator: Mib,
 }
 
-/// An engine's report of itself. It lags by up to seconds.
+/// An engine's report of its own state, which may be some seconds old.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// A number drawn at the engine's start; another number means a restart and an empty memory.
+    /// A number drawn when the engine starts; a different number means that the engine restarted
+    /// and that its memory is empty.
     pub incarnation: u64,
-    /// Grows with every report that differs from the one before.
+    /// The number of the report, which increases whenever the content changes.
     pub sequence: u64,
-    /// How old the report was when it was sent, in milliseconds.
+    /// The age of the report when it was sent, in milliseconds.
     pub age_ms: u64,
-    /// The memory of each accelerator.
+    /// The memory size of each accelerator.
     pub accelerators: Vec<Mib>,
     /// The items in memory.
     pub items: Vec<ReportedItem>,
-    /// Requests in the batch.
+    /// The number of requests in the current batch.
     pub running: u32,
-    /// Requests that wait.
+    /// The number of requests in the queue.
     pub queued: u32,
-    /// Prompt tokens that wait to be read.
+    /// The number of queued prompt tokens that wait for prefill.
     pub queued_prompt_tokens: u64,
-    /// The largest fencing token seen.
+    /// The largest fencing token that the engine has seen.
     pub fence: Fence,
-    /// The orders answered lately, refused ones included, newest last.
+    /// The recently answered orders, including refused ones, newest last.
     pub recent_orders: Vec<OrderId>,
 }
 
-/// What an engine said of an order.
+/// An engine's reply to an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderReply {
-    /// The engine takes the order and will carry it out; repeats of the same order are taken
-    /// once.
+    /// The engine accepts the order and will execute it; repeats of the same order have no
+    /// further effect.
     Accepted,
     /// The engine checks fencing tokens and has seen a larger one.
     Stale {
         /// The largest token that the engine has seen.
         seen: Fence,
     },
-    /// The engine will not carry the order out.
+    /// The engine will not execute the order.
     Refused {
-        /// Its reason.
+        /// The engine's reason.
         reason: String,
     },
-    /// The reply was lost, or the order never arrived: it may be carried out at any later time.
+    /// The reply was lost, or the order never arrived: it may be executed at any later time.
     Unknown(EngineError),
 }
 
-/// A published change of the prefix cache; late, and with gaps.
+/// A published change of the prefix cache. Events may be late or lost.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// The event's number; a gap in the numbers means lost events.
+    /// The sequence number; a gap means lost events.
     pub sequence: u64,
     /// The chained hash of the prompt block.
     pub block: u64,
-    /// Whether the block came into the cache or left it.
+    /// Whether the block was added to the cache (`true`) or evicted from it (`false`).
     pub cached: bool,
 }
 
-/// Events of one engine after some number.
+/// The cache events of one engine after a given sequence number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
     /// The engine's incarnation.
     pub incarnation: u64,
-    /// The events that are still kept.
+    /// The events that the engine still retains.
     pub events: Vec<CacheEvent>,
 }
 
@@ -226,28 +228,28 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KvBlob(pub Bytes);
 
-/// Why an engine gave no answer outside of generation.
+/// An error of an engine call other than generation.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EngineError {
     /// The engine did not answer.
     #[error("the engine cannot be reached: {0}; its last report stays in use until it is old")]
     Unavailable(String),
-    /// The answer made no sense.
+    /// The answer could not be parsed.
     #[error("the engine answered with something else: {0}; check its address in the tree")]
     BadAnswer(String),
 }
 
-/// One model engine.
+/// A model engine.
 #[async_trait]
 pub trait Engine: Send + Sync {
     /// Starts or resumes a request. Dropping the stream cancels the request at the engine.
     async fn generate(&self, request: GenerateRequest) -> Result<FrameStream, GenerateError>;
 
-    /// Tells the engine to stop a request; repeating this is harmless.
+    /// Cancels a request at the engine; idempotent.
     async fn cancel(&self, request: &RequestId) -> Result<(), EngineError>;
 
-    /// Sends an order. An engine remembers the orders that it has answered lately: a repeat is
-    /// answered as before and has no further effect.
+    /// Sends an order. The engine remembers recently answered orders: a repeat gets the same
+    /// reply and has no further effect.
     async fn order(&self, order: &Order) -> OrderReply;
 
     /// Reads the engine's latest report.
--- a/trackfront_core/src/ports/knowledge.rs
+++ b/trackfront_core/src/ports/knowledge.rs
@@ -1,6 +1,6 @@
-//! What the platform tells of the configuration and of the servers.
+//! The platform's feeds of the configuration and of the servers.
 //!
-//! Answers may be late, out of order or lost; versions say which is newer.
+//! Answers may be late, out of order or lost; the version shows which one is newer.
 
 use std::time::Duration;
 
@@ -11,26 +11,27 @@
 use crate::serving::directory::ServerChange;
 use crate::serving::halls::HallStatus;
 
-/// All rows as of one moment.
+/// A consistent snapshot of all rows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing<T> {
     /// The rows, each with its version.
     pub rows: Vec<(u64, T)>,
-    /// The newest version of the platform's table at that moment.
+    /// The version of the platform's table at the time of the snapshot.
     pub version: u64,
 }
 
-/// What came of a wait for changes.
+/// The result of waiting for changes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Feed<T> {
-    /// The changes, in order; there may be none.
+    /// The changes in order, possibly none.
     Changes {
         /// The changes.
         changes: Vec<T>,
-        /// The version up to which they reach.
+        /// The version up to which the changes are complete.
         version: u64,
     },
-    /// The changes after the version asked for are no longer kept: everything has to be read.
+    /// The changes after the requested version are no longer retained: all rows have to be read
+    /// again.
     HistoryGone,
 }
 
@@ -39,47 +40,48 @@
 pub struct StoredConfig {
     /// The version of the row.
     pub row_version: u64,
-    /// The configuration, or why it cannot be used.
+    /// The configuration, or the reason why it cannot be used.
     pub config: Result<ServingConfig, String>,
 }
 
-/// What the operator wrote.
+/// A change that an operator wrote.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorUpdate {
     /// A configuration.
     Config(StoredConfig),
-    /// That the servers of a hall are to get nothing, or are used again.
+    /// A hall whose servers are to receive no requests, or are used again.
     Hall(HallStatus),
 }
 
 /// Reads the configuration and the list of servers.
 #[async_trait]
 pub trait Knowledge: Send + Sync {
-    /// Reads the configuration, if one was stored yet, and the halls that are emptied.
+    /// Reads the configuration, if one is stored, and the drained halls.
     async fn read_operator(&self) -> Result<Listing<OperatorUpdate>, TableError>;
 
-    /// Waits at most `wait` for what the operator writes after `version`.
+    /// Waits at most `wait` for operator changes after `version`.
     async fn follow_operator(
         &self,
         version: u64,
         wait: Duration,
     ) -> Result<Feed<OperatorUpdate>, TableError>;
 
-    /// Returns whether the row of the configuration still has version `row`, as of a moment after the call:
-    /// a feed may be silent while changes are made, so its silence does not show that.
+    /// Returns whether the configuration's row still has version `row` at some moment after the
+    /// call. A feed may deliver nothing while changes are made, so the lack of changes in it is
+    /// no proof.
     async fn is_newest_config(&self, row: u64) -> Result<bool, TableError>;
 
-    /// Reads the rows of all servers; no row is told as gone.
+    /// Reads the rows of all servers; none of them is a removal.
     async fn list_servers(&self) -> Result<Listing<ServerChange>, TableError>;
 
-    /// Waits at most `wait` for changes of servers after `version`.
+    /// Waits at most `wait` for server changes after `version`.
     async fn follow_servers(
         &self,
         version: u64,
         wait: Duration,
     ) -> Result<Feed<ServerChange>, TableError>;
 
-    /// Leaves connections that are kept open, so that the next calls open new ones: the machine was suspended, and the
-    /// platform may have given them up.
+    /// Drops the pooled connections, so that the next calls open new ones. Called after the
+    /// machine was suspended, when the platform may have closed them.
     fn forget_connections(&self);
 }
--- a/trackfront_core/src/ports/mod.rs
+++ b/trackfront_core/src/ports/mod.rs
@@ -1,7 +1,7 @@
-//! The ports: everything that the decisions need from outside, as traits.
+//! The ports: traits for everything that the core needs from outside.
 //!
-//! Each trait is a contract. What may be slow, lost, late, repeated or unknown is in its
-//! types, so that a caller cannot fold "unknown" into "failed".
+//! The types of each trait express what may be slow, lost, late, repeated or unknown, so that a
+//! caller cannot treat "unknown" as "failed".
 
 pub mod box_list;
 pub mod clock;
--- a/trackfront_core/src/ports/objects.rs
+++ b/trackfront_core/src/ports/objects.rs
@@ -4,13 +4,13 @@
 use bytes::Bytes;
 use thiserror::Error;
 
-/// Why the object store gave no answer.
+/// An error of the object store.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ObjectError {
     /// The store did not answer; a write may have taken effect.
     #[error("the platform's object store cannot be reached: {0}; try again when it can")]
     Unavailable(String),
-    /// The answer made no sense.
+    /// The answer could not be parsed.
     #[error("the platform's object store answered with something else: {0}; check its address")]
     BadAnswer(String),
 }
@@ -19,14 +19,13 @@
 /// so a repeated write is harmless.
 #[async_trait]
 pub trait Objects: Send + Sync {
-    /// Writes an object; after an error it may or may not be there.
+    /// Writes an object; after an error the object may or may not exist.
     async fn put(&self, name: &str, body: Bytes) -> Result<(), ObjectError>;
 
-    /// Reads an object; `None` if there is none.
+    /// Reads an object; `None` if it does not exist.
     async fn get(&self, name: &str) -> Result<Option<Bytes>, ObjectError>;
 
-    /// Lists the names that start with `prefix` and sort after `after`, in order, at most
-    /// `limit` of them.
+    /// Lists, in order, at most `limit` names that start with `prefix` and sort after `after`.
     async fn list(
         &self,
         prefix: &str,
--- a/trackfront_core/src/ports/peers.rs
+++ b/trackfront_core/src/ports/peers.rs
@@ -1,4 +1,4 @@
-//! The other entry boxes.
+//! The interface to the other entry boxes.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -11,28 +11,28 @@
 use crate::ids::{Fence, HallName, NodeId, Revision, ShardId};
 use crate::quota::{Answer, Ask, BoxId};
 
-/// What a box says of its own life.
+/// The lifecycle state of a box, as reported by the box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerState {
     /// The box has no tree yet.
     Joining,
-    /// The box serves callers.
+    /// The box serves requests.
     Serving,
-    /// The box finishes what it has and takes nothing new.
+    /// The box finishes the requests that it has and accepts no new ones.
     Leaving,
 }
 
-/// A shard whose claims a box keeps.
+/// A shard whose claims a box stores.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimsKept {
     /// The shard.
     pub shard: ShardId,
-    /// The fencing token of the lease.
+    /// The fencing token of the shard's lease.
     pub fence: Fence,
 }
 
-/// What two boxes tell each other about once a second.
+/// The state that two boxes exchange about once a second.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
@@ -45,25 +45,25 @@
     pub state: PeerState,
     /// The revision in force at the sender.
     pub revision: Revision,
-    /// The engines that the sender itself has read since its last heartbeat to this peer.
+    /// The engines whose reports the sender itself has read since its last heartbeat to this peer.
     pub digests: Vec<EngineDigest>,
-    /// The shards whose claims the sender keeps.
+    /// The shards whose claims the sender stores.
     pub claims: Vec<ClaimsKept>,
-    /// How much of the models' and adapters' demand the sender sees.
+    /// The demand for models and adapters that the sender observes.
     pub items: Vec<ItemDemand>,
 }
 
 /// A message to a peer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Tells the sender's state; answered with the receiver's.
+    /// Reports the sender's state; answered with the receiver's.
     Heartbeat(Heartbeat),
-    /// Asks for the tree in force, if it is newer than `newer_than`.
+    /// Requests the tree in force if it is newer than `newer_than`.
     FetchTree {
-        /// The revision that the asker has.
+        /// The revision that the sender has.
         newer_than: Revision,
     },
-    /// Asks for the right to run a call that may run once. Asking again for the same request is
+    /// Claims a call that may run only once. Repeating the claim for the same request is
     /// harmless.
     Claim {
         /// The shard of the service.
@@ -71,29 +71,29 @@
         /// The claim.
         claim: Claim,
     },
-    /// Gives a claim back whose call is known not to have run.
+    /// Releases a claim whose call is known not to have run.
     Release {
         /// The shard of the service.
         shard: ShardId,
-        /// The key.
+        /// The claim's key.
         key: ClaimKey,
-        /// The request that had it.
+        /// The request that held the claim.
         request: RequestHash,
     },
-    /// Asks the keeper of some callers' limits.
+    /// Queries the coordinator of some callers' limits.
     Quota {
-        /// The box that asks.
+        /// The sender.
         from: BoxId,
-        /// The question.
+        /// The query.
         ask: Ask,
     },
-    /// Tells the answer of a claimed call, for repeats.
+    /// Records the answer of a claimed call, so that repeated calls get the same answer.
     Answered {
         /// The shard of the service.
         shard: ShardId,
-        /// The key.
+        /// The claim's key.
         key: ClaimKey,
-        /// The request that had it.
+        /// The request that held the claim.
         request: RequestHash,
         /// The answer.
         answer: RecordedAnswer,
@@ -105,7 +105,7 @@
 pub enum PeerAnswer {
     /// The answer to a heartbeat.
     Heartbeat(Heartbeat),
-    /// The snapshot of the tree in force, with its checksum inside.
+    /// The snapshot of the tree in force, which includes its checksum.
     Tree {
         /// The snapshot's bytes.
         snapshot: Bytes,
@@ -114,13 +114,13 @@
     NoNewerTree,
     /// The answer to a claim.
     Claim(ClaimReply),
-    /// The answer to a question for limits.
+    /// The answer to a quota query.
     Quota(Answer),
-    /// The message was taken in.
+    /// The message was processed.
     Noted,
 }
 
-/// Why a peer gave no answer.
+/// An error of a call to a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PeerError {
     /// The peer did not answer.
@@ -129,13 +129,13 @@
     /// The peer refused this box's key.
     #[error("the peer refused this box's key; check that both boxes have the same key file")]
     Refused,
-    /// The answer made no sense.
+    /// The answer could not be parsed.
     #[error("the peer answered with something else: {0}; check that both run matching versions")]
     BadAnswer(String),
 }
 
-/// The links to the other entry boxes. A message may be lost, late or answered twice; every
-/// message is harmless when repeated.
+/// The links to the other entry boxes. A message may be lost, delayed or answered twice; every
+/// message is idempotent.
 #[async_trait]
 pub trait Peers: Send + Sync {
     /// Sends `message` to the box at `address` and waits for its answer.
--- a/trackfront_core/src/ports/plain.rs
+++ b/trackfront_core/src/ports/plain.rs
@@ -1,4 +1,4 @@
-//! A server of a plain service.
+//! The interface to a server of a plain service.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -8,7 +8,7 @@
 use crate::ids::RequestId;
 use crate::outcome::Outcome;
 
-/// The few parts of HTTP that a plain call carries, without an HTTP library.
+/// The parts of HTTP that a plain call needs, independent of an HTTP library.
 pub mod http_parts {
     /// A request method in capitals, such as `POST`.
     pub type Method = String;
@@ -23,47 +23,47 @@
     }
 }
 
-/// A call to a plain service, passed on as it came.
+/// A call to a plain service, forwarded unchanged.
 #[derive(Clone, Debug)]
 pub struct PlainCall {
     /// The request's identifier.
     pub id: RequestId,
     /// The method.
     pub method: Method,
-    /// The path and query below the service.
+    /// The path, relative to the service, and the query.
     pub path_and_query: String,
-    /// The caller's headers, less those of the connection and the caller's key.
+    /// The caller's headers, without the hop-by-hop headers and the caller's key.
     pub headers: Vec<Header>,
     /// The body.
     pub body: Bytes,
 }
 
-/// A plain service's whole answer.
+/// A plain service's complete answer.
 #[derive(Clone, Debug)]
 pub struct PlainReply {
-    /// The request that the server says this answers, where it says so.
+    /// The request that this answers, if the server states it.
     pub request: Option<RequestId>,
     /// The status.
     pub status: u16,
-    /// The headers, less those of the connection.
+    /// The headers, without the hop-by-hop headers.
     pub headers: Vec<Header>,
     /// The body.
     pub body: Bytes,
 }
 
-/// Why there is no answer.
+/// An error of a call to a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PlainError {
-    /// Nothing was sent.
+    /// The server could not be reached; nothing was sent.
     #[error("the server cannot be reached: {0}; another server may be tried")]
     Unreachable(String),
-    /// The call was sent and no whole answer came.
+    /// The call was sent, but no complete answer arrived.
     #[error("the server broke off: {0}; the call may have run")]
     Broke(String),
 }
 
 impl PlainError {
-    /// Returns what is known about the run.
+    /// Returns whether the call may have run.
     pub fn outcome(&self) -> Outcome {
         match self {
             PlainError::Unreachable(_) => Outcome::NotRun,
@@ -72,9 +72,9 @@
     }
 }
 
-/// One server of a plain service.
+/// A server of a plain service.
 #[async_trait]
 pub trait PlainService: Send + Sync {
-    /// Makes the call once; the adapter never repeats it by itself.
+    /// Makes the call once; the adapter never retries it.
     async fn call(&self, call: PlainCall) -> Result<PlainReply, PlainError>;
 }
--- a/trackfront_core/src/ports/table.rs
+++ b/trackfront_core/src/ports/table.rs
@@ -25,7 +25,8 @@
 pub struct Row {
     /// The row's key.
     pub key: RowKey,
-    /// The version: 1 for a row's first value, one more with every change, also over deletion.
+    /// The version: 1 for the row's first value, incremented by every change. It continues when a
+    /// deleted row is written again.
     pub version: u64,
     /// The transaction that wrote this version.
     pub written_by: TxnId,
@@ -33,7 +34,7 @@
     pub value: Bytes,
 }
 
-/// What a transaction demands of a row.
+/// The condition that a transaction sets for a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expect {
     /// The row does not exist.
@@ -43,7 +44,7 @@
 }
 
 impl Expect {
-    /// Returns the demand that nothing changed since `row` was read.
+    /// Returns the condition that nothing changed since `row` was read.
     pub fn unchanged(row: Option<&Row>) -> Expect {
         match row {
             Some(row) => Expect::Version(row.version),
@@ -57,74 +58,77 @@
 pub struct Write {
     /// The row's key.
     pub key: RowKey,
-    /// What must hold for the whole transaction to apply.
+    /// The condition on the row; the whole transaction applies only if it holds.
     pub expect: Expect,
     /// The new value; `None` deletes the row.
     pub value: Option<Bytes>,
 }
 
-/// Writes that apply together or not at all.
+/// Writes that are applied atomically.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transaction {
-    /// The identifier by which the writer recognises its own write later.
+    /// The identifier by which the writer later recognises its own write.
     pub id: TxnId,
-    /// The writes; each row at most once.
+    /// The writes, at most one for each row.
     pub writes: Vec<Write>,
 }
 
-/// What became of a transaction.
+/// The result of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// It was applied.
+    /// The transaction was applied.
     Applied,
-    /// It was not applied and never will be: a condition did not hold.
+    /// The transaction was not applied and never will be: a condition did not hold.
     Conflict {
         /// The first row whose condition did not hold.
         key: RowKey,
     },
-    /// It was not applied and never will be: the table refused it before looking.
+    /// The transaction was not applied and never will be: the table refused it without evaluating
+    /// its conditions.
     NotApplied(TableError),
-    /// The reply was lost: it may have been applied, or may still be.
+    /// The reply was lost: the transaction may have been applied, or may still be.
     Unknown(TableError),
 }
 
-/// Why the table gave no answer.
+/// An error of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TableError {
     /// The table did not answer.
     #[error("the platform's table cannot be reached: {0}; its rows stay as they are until it can")]
     Unavailable(String),
-    /// The table asked for fewer requests.
+    /// The request exceeded the table's rate limit.
     #[error("the platform's table refused for its rate limit; wait and try again")]
     RateLimited,
-    /// The answer made no sense.
+    /// The answer could not be parsed.
     #[error("the platform's table answered with something else: {0}; check its address")]
     BadAnswer(String),
 }
 
-/// The platform's table. Its rates are shared by the whole deployment: some hundred writes and a few
-/// thousand reads a second (docs/CAPACITY.md).
+/// The platform's table. The whole deployment shares its rates: some hundred writes and a few
+/// thousand reads per second (docs/CAPACITY.md).
 ///
-/// Rows whose keys have three parts, as `box/HALL/NAME`, may be kept apart by the second: a table that bears only so
-/// many writes a second in one place bears more of them.
+/// Rows whose keys have three parts, such as `box/HALL/NAME`, may be partitioned by the second
+/// part: a table whose write rate is limited per partition then allows more writes in total.
 ///
-/// Reads see every transaction that was answered as applied before they were sent. A write
+/// A read sees every transaction that was confirmed as applied before the read was sent. A write
 /// whose reply was lost may take effect at any later time until a read or a conflicting write
-/// shows what became of it.
+/// shows its result.
 #[async_trait]
 pub trait Table: Send + Sync {
-    /// Reads one row; `None` if there is none.
+    /// Reads one row; `None` if it does not exist.
     async fn read(&self, key: &RowKey) -> Result<Option<Row>, TableError>;
 
     /// Reads all rows whose key starts with `prefix`, in key order.
     async fn scan(&self, prefix: &str) -> Result<Vec<Row>, TableError>;
 
-    /// Reads all rows whose key starts with `family` and has two parts more, which may be kept apart by the first.
+    /// Reads all rows whose key consists of `family` and two more parts; the rows may be
+    /// partitioned by the first of these.
     async fn scan_groups(&self, family: &str) -> Result<Vec<Row>, TableError> {
         self.scan(family).await
     }
 
-    /// Reads the first `limit` rows whose key starts with `prefix` and is no less than `from`, in key order.
+    /// Reads, in key order, the first `limit` rows whose key starts with `prefix` and is not less
+    /// than `from`.
     async fn scan_from(
         &self,
         prefix: &str,
@@ -137,15 +141,16 @@
         Ok(rows)
     }
 
-    /// Applies `txn` if all its conditions hold.
+    /// Applies `txn` if all of its conditions hold.
     async fn commit(&self, txn: &Transaction) -> CommitOutcome;
 }
 
-/// Commits `txn` and finds out by reading what became of it where the reply was lost.
+/// Commits `txn`; if the reply was lost, determines the result by repeating and reading.
 ///
 /// The same transaction is sent again with the same conditions, which cannot apply it twice:
-/// its own first application makes the conditions fail. A conflict is then settled by reading
-/// who wrote the row. `Unknown` is returned only if the table stays silent for all `attempts`.
+/// once applied, its conditions no longer hold. A conflict is then resolved by reading which
+/// transaction wrote the row. The result is `Unknown` only if that cannot be determined: within
+/// `attempts`, or because the row could not be read or was overwritten since.
 pub async fn commit_settled(table: &dyn Table, txn: &Transaction, attempts: u32) -> CommitOutcome {
     let mut outcome = table.commit(txn).await;
     let mut in_doubt = false;
@@ -165,12 +170,12 @@
     }
 }
 
-/// Tells whether the conflict on `key` was with the transaction's own earlier application.
+/// Determines whether the conflict on `key` was with an earlier application of `txn` itself.
 async fn settle_conflict(table: &dyn Table, txn: &Transaction, key: RowKey) -> CommitOutcome {
     match table.read(&key).await {
         Ok(Some(row)) if row.written_by == txn.id => CommitOutcome::Applied,
-        // The own write can have been overwritten since, so only a first version by another
-        // writer proves that it never was applied.
+        // The transaction's own write may have been overwritten since. Only if another writer
+        // wrote the version that this transaction would have written was it never applied.
         Ok(Some(row)) if is_next_version(txn, &row) => CommitOutcome::Conflict { key },
         Ok(_) => CommitOutcome::Unknown(TableError::Unavailable("overwritten meanwhile".into())),
         Err(error) => CommitOutcome::Unknown(error),
