--- a/trackfront_core/src/ports/peers.rs
+++ b/trackfront_core/src/ports/peers.rs
@@ -9,7 +9,7 @@
 use crate::demand::ItemDemand;
 use crate::fleet::EngineDigest;
 use crate::ids::{Fence, HallName, NodeId, Revision, ShardId};
-use crate::quota::{Answer, Ask, BoxId};
+use crate::quota::{BoxId, QuotaReply, QuotaRequest};
 
 /// The lifecycle state of a box, as reported by the box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -85,7 +85,7 @@
         /// The sender.
         from: BoxId,
         /// The query.
-        ask: Ask,
+        ask: QuotaRequest,
     },
     /// Records the answer of a claimed call, so that repeated calls get the same answer.
     Answered {
@@ -115,7 +115,7 @@
     /// The answer to a claim.
     Claim(ClaimReply),
     /// The answer to a quota query.
-    Quota(Answer),
+    Quota(QuotaReply),
     /// The message was processed.
     Noted,
 }
--- a/trackfront_core/src/quota/mod.rs
+++ b/trackfront_core/src/quota/mod.rs
@@ -8,8 +8,8 @@
 //! partition, and an account may use its whole limit through whichever boxes its clients reach.
 //!
 //! Over a window of length W an account of rate r and burst b is granted at most r·W + b, and beyond that what
-//! is used later than it was granted ([`share::GRANT_FOR`]) and what two keepers count of a box that moved
-//! without a farewell ([`pool::MEMBER_FOR`]): `tests/quota` bounds both.
+//! is used later than it was granted ([`share::GRANT_LIFETIME`]) and what two keepers count of a box that moved
+//! without a farewell ([`pool::LOAN_DURATION`]): `tests/quota` bounds both.
 
 pub mod pool;
 pub mod share;
@@ -55,33 +55,33 @@
 
 /// What a box asks a keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct QuotaRequest {
     /// Which question it is of those of the box.
     pub number: u32,
     /// The partition that it is about.
     pub partition: u8,
     /// Whether the box lends its right to the keeper, or takes it back.
     pub lends: bool,
-    /// What it wants.
-    pub wants: Vec<Want>,
+    /// The units wanted, at most one entry per account.
+    pub unit_requests: Vec<UnitRequest>,
 }
 
 /// What a box wants of one account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
+pub struct UnitRequest {
     /// The account.
     pub account: AccountId,
     /// The units of each request that waits.
-    pub needs: Vec<u32>,
+    pub waiting_units: Vec<u32>,
     /// The units that are likely to be needed soon.
-    pub ahead: u32,
+    pub prefetch_units: u32,
     /// Granted units of requests that did not run.
-    pub back: u32,
+    pub returned_units: u32,
 }
 
 /// What a keeper answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct QuotaReply {
     /// The question that this answers.
     pub number: u32,
     /// The partition that it is about.
@@ -96,14 +96,14 @@
     /// How many of the requests that wait, from the first.
     pub requests: u32,
     /// Units beside those.
-    pub ahead: u32,
+    pub prefetch_units: u32,
     /// In how many milliseconds the next request would be granted.
     pub wait_ms: u32,
 }
 
 /// Returns the boxes in the order in which they keep a partition: rendezvous hashing, so that the loss of a
 /// box moves only what it kept.
-pub fn keepers(partition: usize, boxes: impl Iterator<Item = BoxId>) -> Vec<BoxId> {
+pub fn rank_coordinators(partition: usize, boxes: impl Iterator<Item = BoxId>) -> Vec<BoxId> {
     let mut ranked: Vec<(u64, BoxId)> =
         boxes.map(|id| (mix(((partition as u64) << 32) | u64::from(id.0)), id)).collect();
     ranked.sort_unstable();
--- a/trackfront_core/src/quota/pool.rs
+++ b/trackfront_core/src/quota/pool.rs
@@ -6,10 +6,10 @@
 use crate::accounts::AccountLimit;
 use crate::units::Moment;
 
-use super::{AccountId, Answer, Ask, BoxId, Grant, Want};
+use super::{AccountId, BoxId, Grant, QuotaReply, QuotaRequest, UnitRequest};
 
 /// How long a right counts after the question that lent it: two questions may be lost.
-pub const MEMBER_FOR: Duration = Duration::from_millis(1_000);
+pub const LOAN_DURATION: Duration = Duration::from_millis(1_000);
 
 /// The least burst, in seconds of the rate, for accounts that have none: what comes in between two questions
 /// has to be kept somewhere. With 0.25 s, and links that come and go, a window had 1.004 of its bound.
@@ -40,7 +40,7 @@
 struct Member {
     until: Moment,
     /// The last answer, which is given again if its question comes again.
-    last: Option<Answer>,
+    last: Option<QuotaReply>,
 }
 
 #[derive(Debug)]
@@ -62,23 +62,30 @@
 
 impl Pool {
     /// Answers a question.
-    pub fn answer(&mut self, from: BoxId, ask: &Ask, terms: &PoolTerms<'_>, now: Moment) -> Answer {
+    pub fn answer(
+        &mut self,
+        from: BoxId,
+        request: &QuotaRequest,
+        terms: &PoolTerms<'_>,
+        now: Moment,
+    ) -> QuotaReply {
         self.settle(terms.boxes, now);
         let again = self.members.get(&from).and_then(|member| member.last.as_ref());
-        let again = again.filter(|last| last.number == ask.number).cloned();
-        if !ask.lends {
+        let again = again.filter(|last| last.number == request.number).cloned();
+        if !request.lends {
             self.members.remove(&from);
-            let grants = vec![Grant::default(); ask.wants.len()];
-            return Answer { number: ask.number, partition: ask.partition, grants };
+            let grants = vec![Grant::default(); request.unit_requests.len()];
+            return QuotaReply { number: request.number, partition: request.partition, grants };
         }
-        let until = now + MEMBER_FOR;
+        let until = now + LOAN_DURATION;
         self.members.entry(from).or_insert(Member { until, last: None }).until = until;
         if let Some(again) = again {
             return again;
         }
         let part = self.part(terms.boxes);
-        let grants = ask.wants.iter().map(|want| self.grant(want, part, terms)).collect();
-        let answer = Answer { number: ask.number, partition: ask.partition, grants };
+        let grants =
+            request.unit_requests.iter().map(|want| self.grant(want, part, terms)).collect();
+        let answer = QuotaReply { number: request.number, partition: request.partition, grants };
         if let Some(member) = self.members.get_mut(&from) {
             member.last = Some(answer.clone());
         }
@@ -109,7 +116,7 @@
         boxes.map_or(0.0, |boxes| members as f64 / boxes.max(members).max(1) as f64)
     }
 
-    fn grant(&mut self, want: &Want, part: f64, terms: &PoolTerms<'_>) -> Grant {
+    fn grant(&mut self, want: &UnitRequest, part: f64, terms: &PoolTerms<'_>) -> Grant {
         let Some(limit) = terms.limits.get(&want.account) else {
             return Grant::default();
         };
@@ -122,9 +129,9 @@
         let gained = limit.per_s * (lent_s - bucket.filled_s);
         bucket.filled_s = lent_s;
         bucket.awaited = (bucket.awaited - gained).max(0.0);
-        bucket.level = (bucket.level + gained + f64::from(want.back)).min(most);
+        bucket.level = (bucket.level + gained + f64::from(want.returned_units)).min(most);
         let mut grant = Grant::default();
-        for need in &want.needs {
+        for need in &want.waiting_units {
             let need = f64::from(*need);
             let on_credit = need > burst && part > CREDIT_FROM && bucket.level >= most;
             if need > bucket.level && !on_credit {
@@ -135,9 +142,9 @@
             bucket.level -= need;
             grant.requests += 1;
         }
-        if bucket.level - f64::from(want.ahead) >= most * AHEAD_FROM {
-            bucket.level -= f64::from(want.ahead);
-            grant.ahead = want.ahead;
+        if bucket.level - f64::from(want.prefetch_units) >= most * AHEAD_FROM {
+            bucket.level -= f64::from(want.prefetch_units);
+            grant.prefetch_units = want.prefetch_units;
         }
         grant
     }
--- a/trackfront_core/src/quota/share.rs
+++ b/trackfront_core/src/quota/share.rs
@@ -1,25 +1,25 @@
 //! The asking side: to whom a box lends its right of one partition, and what it was granted.
 //!
 //! A box that leaves a keeper which does not answer lends its right to the next at once, though the first may
-//! count it for a second more ([`MEMBER_FOR`](super::pool::MEMBER_FOR)). Waiting that second out was tried:
+//! count it for a second more ([`LOAN_DURATION`](super::pool::LOAN_DURATION)). Waiting that second out was tried:
 //! where links come and go each 0.4 to 3 s it takes the largest window from 0.89 to 0.84 of its bound, and
 //! refuses up to 14 in 100 of what may pass (`tests/quota`, two and three parts of 30 boxes).
 //!
-//! Nothing here sends or waits: [`Share::poll`] says what is to be sent, [`Share::take`] whether a request
-//! may pass, and both and [`Share::answered`] whose waits are over.
+//! Nothing here sends or waits: [`QuotaShare::poll`] says what is to be sent, [`QuotaShare::take`] whether a request
+//! may pass, and both and [`QuotaShare::apply_reply`] whose waits are over.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use crate::units::Moment;
 
-use super::{AccountId, Answer, Ask, BoxId, Grant, Want};
+use super::{AccountId, BoxId, Grant, QuotaReply, QuotaRequest, UnitRequest};
 
 /// How long granted units may be used. What is used in a window was granted in one longer by this.
-pub const GRANT_FOR: Duration = Duration::from_millis(300);
+pub const GRANT_LIFETIME: Duration = Duration::from_millis(300);
 
 /// How often a box asks its keeper, also if it wants nothing: three times within what its right counts.
-pub const ASK_EVERY: Duration = Duration::from_millis(400);
+pub const REQUEST_INTERVAL: Duration = Duration::from_millis(400);
 
 /// How long an answer is waited for until the question is sent again. A box whose share of a processor is
 /// spent stands still for up to a tenth of a second.
@@ -72,25 +72,25 @@
 
 /// A question to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Send {
+pub struct OutgoingRequest {
     /// The box that it is for, perhaps the own one.
     pub to: BoxId,
     /// The question.
-    pub ask: Ask,
+    pub request: QuotaRequest,
 }
 
 /// What is to be done now.
 #[derive(Debug, Default)]
 pub struct Step {
     /// Questions to be sent.
-    pub sends: Vec<Send>,
+    pub sends: Vec<OutgoingRequest>,
     /// Waits that are over.
     pub over: Vec<(Waiter, Outcome)>,
 }
 
 /// The right of one box in one partition.
 #[derive(Debug)]
-pub struct Share {
+pub struct QuotaShare {
     me: BoxId,
     partition: u8,
     numbers: u32,
@@ -108,7 +108,7 @@
 /// A question without an answer yet.
 #[derive(Debug)]
 struct Open {
-    send: Send,
+    send: OutgoingRequest,
     sent_at: Moment,
     sends: u32,
     /// The box to lend to after a farewell.
@@ -202,7 +202,7 @@
     /// Returns the units to ask for ahead of need.
     fn ahead(&mut self, now: Moment) -> u32 {
         self.demand.decay(now);
-        let life = GRANT_FOR.as_secs_f64();
+        let life = GRANT_LIFETIME.as_secs_f64();
         if self.demand.requests * life < AHEAD_REQUESTS {
             return 0;
         }
@@ -216,7 +216,7 @@
     }
 }
 
-impl Share {
+impl QuotaShare {
     /// Makes the share of a box that has asked nobody yet. Numbers of questions begin at `number`, which
     /// should differ from one start of a box to the next.
     pub fn new(me: BoxId, partition: usize, number: u32) -> Self {
@@ -264,7 +264,7 @@
     }
 
     /// Returns the box that the right is lent to.
-    pub fn keeper(&self) -> Option<BoxId> {
+    pub fn coordinator(&self) -> Option<BoxId> {
         self.keeper
     }
 
@@ -291,7 +291,7 @@
             }
         }
         let is_wanted = self.accounts.values().any(|account| !account.waiting.is_empty());
-        let is_due = self.asked_at.is_none_or(|at| now.since(at) >= ASK_EVERY);
+        let is_due = self.asked_at.is_none_or(|at| now.since(at) >= REQUEST_INTERVAL);
         if is_wanted || is_due {
             self.ask(keeper, now, &mut step);
         }
@@ -299,17 +299,18 @@
     }
 
     /// Takes in an answer. Returns the waits that are over.
-    pub fn answered(
+    pub fn apply_reply(
         &mut self,
         from: BoxId,
-        answer: &Answer,
+        answer: &QuotaReply,
         now: Moment,
     ) -> Vec<(Waiter, Outcome)> {
         if let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == answer.number) {
             probe.boxes.iter_mut().filter(|(id, _)| *id == from).for_each(|(_, up)| *up = true);
             return Vec::new();
         }
-        let is_answer = |open: &Open| open.send.to == from && open.send.ask.number == answer.number;
+        let is_answer =
+            |open: &Open| open.send.to == from && open.send.request.number == answer.number;
         let Some(open) = self.open.take_if(|open| is_answer(open)) else {
             return Vec::new();
         };
@@ -320,8 +321,8 @@
             return Vec::new();
         }
         let mut over = Vec::new();
-        let until = open.sent_at + GRANT_FOR;
-        for (want, grant) in open.send.ask.wants.iter().zip(&answer.grants) {
+        let until = open.sent_at + GRANT_LIFETIME;
+        for (want, grant) in open.send.request.unit_requests.iter().zip(&answer.grants) {
             let account = self.accounts.entry(want.account).or_default();
             account.settle(grant, until, now, &mut over);
         }
@@ -330,24 +331,34 @@
 
     /// Asks the keeper for what is wanted.
     fn ask(&mut self, keeper: BoxId, now: Moment, step: &mut Step) {
-        let mut wants = Vec::new();
+        let mut unit_requests = Vec::new();
         for (id, account) in &mut self.accounts {
             account.forget_old(now);
-            let needs = account.waiting.iter().take(NEEDS_AT_ONCE);
-            let needs: Vec<u32> = needs.map(|(_, units)| *units).collect();
-            account.asked = needs.len();
-            let (ahead, back) = (account.ahead(now), account.back as u32);
+            let waiting_units = account.waiting.iter().take(NEEDS_AT_ONCE);
+            let waiting_units: Vec<u32> = waiting_units.map(|(_, units)| *units).collect();
+            account.asked = waiting_units.len();
+            let (prefetch_units, returned_units) = (account.ahead(now), account.back as u32);
             account.back = 0.0;
-            if !needs.is_empty() || ahead > 0 || back > 0 {
-                wants.push(Want { account: *id, needs, ahead, back });
+            if !waiting_units.is_empty() || prefetch_units > 0 || returned_units > 0 {
+                unit_requests.push(UnitRequest {
+                    account: *id,
+                    waiting_units,
+                    prefetch_units,
+                    returned_units,
+                });
             }
         }
-        let ask = Ask { number: self.number(), partition: self.partition, lends: true, wants };
+        let request = QuotaRequest {
+            number: self.number(),
+            partition: self.partition,
+            lends: true,
+            unit_requests,
+        };
         self.asked_at = Some(now);
-        self.send(Send { to: keeper, ask }, None, now, step);
+        self.send(OutgoingRequest { to: keeper, request }, None, now, step);
     }
 
-    fn send(&mut self, send: Send, then: Option<BoxId>, now: Moment, step: &mut Step) {
+    fn send(&mut self, send: OutgoingRequest, then: Option<BoxId>, now: Moment, step: &mut Step) {
         step.sends.push(send.clone());
         self.open = Some(Open { send, sent_at: now, sends: 1, then });
     }
@@ -367,7 +378,7 @@
         }
         if open.sends < SENDS {
             open.sends += 1;
-            if open.send.ask.lends {
+            if open.send.request.lends {
                 self.asked_at = Some(now);
             }
             step.sends.push(open.send.clone());
@@ -406,8 +417,13 @@
     /// questions as the rest.
     fn say_farewell(&mut self, keeper: BoxId, then: BoxId, now: Moment, step: &mut Step) {
         let number = self.number();
-        let ask = Ask { number, partition: self.partition, lends: false, wants: Vec::new() };
-        self.send(Send { to: keeper, ask }, Some(then), now, step);
+        let request = QuotaRequest {
+            number,
+            partition: self.partition,
+            lends: false,
+            unit_requests: Vec::new(),
+        };
+        self.send(OutgoingRequest { to: keeper, request }, Some(then), now, step);
     }
 
     fn start_probe(&mut self, boxes: Vec<BoxId>, now: Moment, step: &mut Step) {
@@ -416,8 +432,14 @@
             return;
         }
         let number = self.number();
-        let ask = Ask { number, partition: self.partition, lends: false, wants: Vec::new() };
-        step.sends.extend(boxes.iter().map(|to| Send { to: *to, ask: ask.clone() }));
+        let request = QuotaRequest {
+            number,
+            partition: self.partition,
+            lends: false,
+            unit_requests: Vec::new(),
+        };
+        step.sends
+            .extend(boxes.iter().map(|to| OutgoingRequest { to: *to, request: request.clone() }));
         let boxes = boxes.into_iter().map(|id| (id, false)).collect();
         self.probe = Some(Probe { number, until: now + ANSWER_TIME, boxes });
     }
@@ -469,8 +491,8 @@
         for (waiter, _) in self.waiting.drain(..asked - granted) {
             over.extend(waiter.map(|waiter| (waiter, Outcome::Reached(wait))));
         }
-        if grant.ahead > 0 && until > now {
-            self.granted.push_back((f64::from(grant.ahead), until));
+        if grant.prefetch_units > 0 && until > now {
+            self.granted.push_back((f64::from(grant.prefetch_units), until));
         }
         // Those that came meanwhile may have what was granted ahead.
         while let Some((waiter, units)) = self.waiting.front().copied() {
--- a/trackfront_core/src/serving/permits.rs
+++ b/trackfront_core/src/serving/permits.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use crate::ids::BackendId;
-use crate::quota::{BoxId, keepers};
+use crate::quota::{BoxId, rank_coordinators};
 use crate::units::Moment;
 
 /// The fraction of a limit that the standby coordinator issues to boxes that get no answer from the coordinator.
@@ -160,7 +160,7 @@
         boxes: impl Iterator<Item = BoxId>,
         now: Moment,
     ) -> Option<Coordinator> {
-        let ranked = keepers(server as usize, boxes);
+        let ranked = rank_coordinators(server as usize, boxes);
         let mut ranked = ranked.into_iter().take(2).enumerate();
         let answers = |id: &BoxId| self.unresponsive.get(id).is_none_or(|until| now >= *until);
         let (index, id) = ranked.find(|(_, id)| answers(id))?;
--- a/trackfront_core/tests/quota/world.rs
+++ b/trackfront_core/tests/quota/world.rs
@@ -8,8 +8,10 @@
 use rand_chacha::ChaCha8Rng;
 use trackfront_core::accounts::{AccountLimit, LimitUnit};
 use trackfront_core::quota::pool::{Pool, PoolTerms};
-use trackfront_core::quota::share::{Outcome, Send, Share, Step, Waiter};
-use trackfront_core::quota::{AccountId, Answer, Ask, BoxId, PARTITIONS, keepers};
+use trackfront_core::quota::share::{Outcome, OutgoingRequest, QuotaShare, Step, Waiter};
+use trackfront_core::quota::{
+    AccountId, BoxId, PARTITIONS, QuotaReply, QuotaRequest, rank_coordinators,
+};
 use trackfront_core::units::Moment;
 
 /// The time of one step.
@@ -113,7 +115,7 @@
 }
 
 struct KeeperBox {
-    shares: Vec<Share>,
+    shares: Vec<QuotaShare>,
     pools: Vec<Pool>,
 }
 
@@ -124,8 +126,8 @@
 }
 
 enum Content {
-    Ask(Ask),
-    Answer(Answer),
+    QuotaRequest(QuotaRequest),
+    QuotaReply(QuotaReply),
 }
 
 fn id(index: usize) -> BoxId {
@@ -180,15 +182,15 @@
     ) {
         let Letter { from, to, what } = letter;
         match what {
-            Content::Ask(ask) => {
+            Content::QuotaRequest(request) => {
                 let terms = PoolTerms { limits: &self.limits, boxes: Some(net.listed) };
-                let pool = &mut self.boxes[to].pools[usize::from(ask.partition)];
-                let answer = pool.answer(id(from), &ask, &terms, now);
-                self.carry(net, Letter { from: to, to: from, what: Content::Answer(answer) });
+                let pool = &mut self.boxes[to].pools[usize::from(request.partition)];
+                let answer = pool.answer(id(from), &request, &terms, now);
+                self.carry(net, Letter { from: to, to: from, what: Content::QuotaReply(answer) });
             }
-            Content::Answer(answer) => {
+            Content::QuotaReply(answer) => {
                 let share = &mut self.boxes[to].shares[usize::from(answer.partition)];
-                let over = share.answered(id(from), &answer, now);
+                let over = share.apply_reply(id(from), &answer, now);
                 self.settle(over, passed);
             }
         }
@@ -215,21 +217,21 @@
         now: Moment,
         passed: &mut Vec<(AccountId, u32)>,
     ) {
-        let ranking = keepers(partition, (0..net.listed).map(id));
+        let ranking = rank_coordinators(partition, (0..net.listed).map(id));
         loop {
             let Step { sends, over } = self.boxes[at].shares[partition].poll(&ranking, now);
             self.settle(over, passed);
             let mut asked_itself = false;
-            for Send { to, ask } in sends {
+            for OutgoingRequest { to, request } in sends {
                 let to = to.0 as usize - 1;
                 if to != at {
-                    self.carry(net, Letter { from: at, to, what: Content::Ask(ask) });
+                    self.carry(net, Letter { from: at, to, what: Content::QuotaRequest(request) });
                     continue;
                 }
                 asked_itself = true;
                 let terms = PoolTerms { limits: &self.limits, boxes: Some(net.listed) };
-                let answer = self.boxes[at].pools[partition].answer(id(at), &ask, &terms, now);
-                let over = self.boxes[at].shares[partition].answered(id(at), &answer, now);
+                let answer = self.boxes[at].pools[partition].answer(id(at), &request, &terms, now);
+                let over = self.boxes[at].shares[partition].apply_reply(id(at), &answer, now);
                 self.settle(over, passed);
             }
             if !asked_itself {
@@ -241,7 +243,7 @@
 
 impl KeeperBox {
     fn new(index: usize, number: u32) -> Self {
-        let share = |partition| Share::new(id(index), partition, number);
+        let share = |partition| QuotaShare::new(id(index), partition, number);
         Self {
             shares: (0..PARTITIONS).map(share).collect(),
             pools: (0..PARTITIONS).map(|_| Pool::default()).collect(),
@@ -371,7 +373,7 @@
                 }
                 self.owed[index] -= f64::from(units);
                 let entry = self.net.rng.random_range(0..self.entries[index].len());
-                self.ask(account, self.entries[index][entry], units);
+                self.request(account, self.entries[index][entry], units);
             }
         }
         let passed = self.way.step(&mut self.net, self.now);
@@ -381,7 +383,7 @@
         self.check();
     }
 
-    fn ask(&mut self, account: TestAccount, at: usize, units: u32) {
+    fn request(&mut self, account: TestAccount, at: usize, units: u32) {
         if !self.net.up[at] || self.net.frozen[at] {
             return;
         }
--- a/trackfrontd/src/limits.rs
+++ b/trackfrontd/src/limits.rs
@@ -8,7 +8,7 @@
 use trackfront_core::ids::AccountName;
 use trackfront_core::outcome::RequestError;
 use trackfront_core::ports::peers::{PeerAnswer, PeerMessage};
-use trackfront_core::quota::share::{Outcome, Send};
+use trackfront_core::quota::share::{Outcome, OutgoingRequest};
 use trackfront_core::quota::{AccountId, BoxId};
 use trackfront_core::tree::Tree;
 
@@ -51,13 +51,13 @@
     let others: Vec<BoxId> = boxes.keys().copied().collect();
     let sharing = shared.members.lock().is_listed().then_some(others.len() + 1);
     shared.quotas.set_boxes(&others, sharing);
-    for Send { to, ask } in shared.quotas.questions(shared.outside.clock.now()) {
+    for OutgoingRequest { to, request } in shared.quotas.questions(shared.outside.clock.now()) {
         let Some(address) = boxes.get(&to).cloned() else {
             continue;
         };
         let shared = shared.clone();
         tokio::spawn(async move {
-            let message = PeerMessage::Quota { from: box_id(&shared.peer_address), ask };
+            let message = PeerMessage::Quota { from: box_id(&shared.peer_address), ask: request };
             match shared.outside.peers.ask(&address, message).await {
                 Ok(PeerAnswer::Quota(answer)) => {
                     shared.quotas.take_in(to, &answer, shared.outside.clock.now());
--- a/trackfrontd/src/quotas.rs
+++ b/trackfrontd/src/quotas.rs
@@ -11,8 +11,10 @@
 use tokio::time::timeout;
 use trackfront_core::accounts::AccountLimit;
 use trackfront_core::quota::pool::{Pool, PoolTerms};
-use trackfront_core::quota::share::{Outcome, Send, Share, Step, Waiter};
-use trackfront_core::quota::{AccountId, Answer, Ask, BoxId, PARTITIONS, keepers};
+use trackfront_core::quota::share::{Outcome, OutgoingRequest, QuotaShare, Step, Waiter};
+use trackfront_core::quota::{
+    AccountId, BoxId, PARTITIONS, QuotaReply, QuotaRequest, rank_coordinators,
+};
 use trackfront_core::units::Moment;
 
 /// How often shares are looked at without a cause: often enough for questions without an answer.
@@ -31,7 +33,7 @@
 
 struct State {
     limits: HashMap<AccountId, AccountLimit>,
-    shares: Vec<Share>,
+    shares: Vec<QuotaShare>,
     pools: Vec<Pool>,
     waits: HashMap<Waiter, oneshot::Sender<Outcome>>,
     last_wait: u64,
@@ -47,7 +49,9 @@
     pub fn new(me: BoxId, number: u32) -> Self {
         let state = State {
             limits: HashMap::new(),
-            shares: (0..PARTITIONS).map(|partition| Share::new(me, partition, number)).collect(),
+            shares: (0..PARTITIONS)
+                .map(|partition| QuotaShare::new(me, partition, number))
+                .collect(),
             pools: (0..PARTITIONS).map(|_| Pool::default()).collect(),
             waits: HashMap::new(),
             last_wait: 0,
@@ -75,7 +79,7 @@
         let me = sharing.map(|_| self.me);
         for partition in 0..PARTITIONS {
             let all = others.iter().copied().chain(me);
-            state.rankings[partition] = keepers(partition, all);
+            state.rankings[partition] = rank_coordinators(partition, all);
         }
     }
 
@@ -119,7 +123,7 @@
 
     /// Returns the box that keeps an account's limit, as far as this one knows.
     pub fn keeper(&self, account: AccountId) -> Option<BoxId> {
-        self.state.lock().shares[account.partition()].keeper()
+        self.state.lock().shares[account.partition()].coordinator()
     }
 
     /// Waits until there may be something to ask, or for the time after which to look in any case.
@@ -129,7 +133,7 @@
     }
 
     /// Returns the questions that are to go to other boxes now.
-    pub fn questions(&self, now: Moment) -> Vec<Send> {
+    pub fn questions(&self, now: Moment) -> Vec<OutgoingRequest> {
         let mut state = self.state.lock();
         let mut used = [false; PARTITIONS];
         state.limits.keys().for_each(|account| used[account.partition()] = true);
@@ -138,12 +142,12 @@
     }
 
     /// Answers another box; `None` if its question makes no sense, or this box cannot keep limits yet.
-    pub fn answer(&self, from: BoxId, ask: &Ask, now: Moment) -> Option<Answer> {
-        self.state.lock().answer(from, ask, now)
+    pub fn answer(&self, from: BoxId, request: &QuotaRequest, now: Moment) -> Option<QuotaReply> {
+        self.state.lock().answer(from, request, now)
     }
 
     /// Takes in the answer of another box.
-    pub fn take_in(&self, from: BoxId, answer: &Answer, now: Moment) {
+    pub fn take_in(&self, from: BoxId, answer: &QuotaReply, now: Moment) {
         self.state.lock().answered(from, answer, now);
         // Those that came while the question was open are asked for now.
         self.wake.notify_one();
@@ -176,18 +180,18 @@
 
     /// Answers a question; `None` while it is not known how many boxes share the limits. An answer would be taken for
     /// one of a keeper, and nothing granted for a limit that is reached: whoever gets none asks the next box.
-    fn answer(&mut self, from: BoxId, ask: &Ask, now: Moment) -> Option<Answer> {
+    fn answer(&mut self, from: BoxId, request: &QuotaRequest, now: Moment) -> Option<QuotaReply> {
         self.boxes?;
         let terms = PoolTerms { limits: &self.limits, boxes: self.boxes };
-        let pool = self.pools.get_mut(usize::from(ask.partition))?;
-        Some(pool.answer(from, ask, &terms, now))
+        let pool = self.pools.get_mut(usize::from(request.partition))?;
+        Some(pool.answer(from, request, &terms, now))
     }
 
-    fn answered(&mut self, from: BoxId, answer: &Answer, now: Moment) {
+    fn answered(&mut self, from: BoxId, answer: &QuotaReply, now: Moment) {
         let Some(share) = self.shares.get_mut(usize::from(answer.partition)) else {
             return;
         };
-        let over = share.answered(from, answer, now);
+        let over = share.apply_reply(from, answer, now);
         self.end_waits(over);
     }
 
@@ -201,19 +205,19 @@
     }
 
     /// Looks at a partition; returns the questions to other boxes.
-    fn poll(&mut self, partition: usize, me: BoxId, now: Moment) -> Vec<Send> {
+    fn poll(&mut self, partition: usize, me: BoxId, now: Moment) -> Vec<OutgoingRequest> {
         let mut to_others = Vec::new();
         loop {
             let Step { sends, over } = self.shares[partition].poll(&self.rankings[partition], now);
             self.end_waits(over);
-            let (own, others): (Vec<Send>, Vec<Send>) =
+            let (own, others): (Vec<OutgoingRequest>, Vec<OutgoingRequest>) =
                 sends.into_iter().partition(|send| send.to == me);
             to_others.extend(others);
             if own.is_empty() {
                 return to_others;
             }
             for send in own {
-                if let Some(answer) = self.answer(me, &send.ask, now) {
+                if let Some(answer) = self.answer(me, &send.request, now) {
                     self.answered(me, &answer, now);
                 }
             }
--- a/trackfrontd/src/serving/crashes/mod.rs
+++ b/trackfrontd/src/serving/crashes/mod.rs
@@ -23,7 +23,7 @@
 use trackfront_adapters::serving_metrics::KindLabel;
 use trackfront_adapters::upstream::UpstreamError;
 use trackfront_core::ids::{BackendId, RequestId};
-use trackfront_core::quota::{BoxId, keepers};
+use trackfront_core::quota::{BoxId, rank_coordinators};
 use trackfront_core::serving::crashes::{
     CrashReport, CrashTracker, IncarnationId, SuspicionChange,
 };
@@ -113,7 +113,7 @@
     let me = node.settings.load().node.ip;
     let others = node.peers.lock().reachable(node.now());
     let all = others.into_iter().chain([me]).map(box_id);
-    let ranked = keepers(fingerprint.0 as u32 as usize, all);
+    let ranked = rank_coordinators(fingerprint.0 as u32 as usize, all);
     ranked.into_iter().take(COORDINATORS).map(|BoxId(bits)| Ipv4Addr::from_bits(bits)).collect()
 }
 
--- a/trackfrontd/src/serving/messages.rs
+++ b/trackfrontd/src/serving/messages.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 use trackfront_core::lease::LeaseAnnouncement;
-use trackfront_core::quota::{Answer, Ask};
+use trackfront_core::quota::{QuotaReply, QuotaRequest};
 use trackfront_core::serving::crashes::CrashReport;
 use trackfront_core::serving::load::{InFlight, RankInFlight};
 use trackfront_core::units::Moment;
@@ -41,9 +41,9 @@
     /// The reply to a [`ConfigVersionRequest`].
     ConfigVersionReply(ConfigVersionReply),
     /// A request to the coordinator of some accounts' limits.
-    QuotaRequest(Ask),
+    QuotaRequest(QuotaRequest),
     /// The reply to a quota request.
-    QuotaReply(Answer),
+    QuotaReply(QuotaReply),
     /// Requests that are suspected of crashing servers.
     CrashReports(Vec<CrashReport>),
     /// Short names of servers that have ended.
--- a/trackfrontd/src/serving/quota.rs
+++ b/trackfrontd/src/serving/quota.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use trackfront_core::accounts::AccountLimit;
-use trackfront_core::quota::{AccountId, Answer, Ask, BoxId};
+use trackfront_core::quota::{AccountId, BoxId, QuotaReply, QuotaRequest};
 use trackfront_core::serving::config::ServingConfig;
 use trackfront_core::units::Moment;
 
@@ -42,7 +42,8 @@
                 knew_all_boxes = knows_all_boxes;
             }
             for send in node.quotas.questions(now) {
-                socket.send_now(&Message::QuotaRequest(send.ask), Ipv4Addr::from_bits(send.to.0));
+                socket
+                    .send_now(&Message::QuotaRequest(send.request), Ipv4Addr::from_bits(send.to.0));
             }
         }
         node.quotas.woken().await;
@@ -63,13 +64,13 @@
 }
 
 /// Answers the quota request of another box.
-pub fn answer(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, ask: &Ask) {
+pub fn answer(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, ask: &QuotaRequest) {
     if let Some(answer) = node.quotas.answer(box_id(ip), ask, node.now()) {
         socket.send_now(&Message::QuotaReply(answer), ip);
     }
 }
 
 /// Handles another box's answer to a quota request.
-pub fn handle_answer(node: &ServingNode, ip: Ipv4Addr, answer: &Answer) {
+pub fn handle_answer(node: &ServingNode, ip: Ipv4Addr, answer: &QuotaReply) {
     node.quotas.take_in(box_id(ip), answer, node.now());
 }
--- a/trackfrontd/tests/quotas.rs
+++ b/trackfrontd/tests/quotas.rs
@@ -12,8 +12,8 @@
 
 use tokio::task::yield_now;
 use trackfront_core::accounts::{AccountLimit, LimitUnit};
-use trackfront_core::quota::share::{Outcome, Send};
-use trackfront_core::quota::{AccountId, Ask, BoxId, keepers};
+use trackfront_core::quota::share::{Outcome, OutgoingRequest};
+use trackfront_core::quota::{AccountId, BoxId, QuotaRequest, rank_coordinators};
 use trackfront_core::units::Moment;
 use trackfrontd::quotas::Quotas;
 
@@ -28,7 +28,7 @@
 
 /// Returns the box that should keep the account's limit, and the one after it.
 fn boxes() -> (BoxId, BoxId) {
-    let ranked = keepers(account().partition(), [BoxId(1), BoxId(2)].into_iter());
+    let ranked = rank_coordinators(account().partition(), [BoxId(1), BoxId(2)].into_iter());
     (ranked[0], ranked[1])
 }
 
@@ -43,11 +43,16 @@
 }
 
 /// Asks at one box for as long as anything is asked, and carries the questions to the other.
-fn exchange(here: &Quotas, there: &Quotas, (me, other): (BoxId, BoxId), now: Moment) -> Vec<Send> {
+fn exchange(
+    here: &Quotas,
+    there: &Quotas,
+    (me, other): (BoxId, BoxId),
+    now: Moment,
+) -> Vec<OutgoingRequest> {
     let sends = here.questions(now);
     for send in &sends {
         assert_eq!(send.to, other);
-        if let Some(answer) = there.answer(me, &send.ask, now) {
+        if let Some(answer) = there.answer(me, &send.request, now) {
             here.take_in(other, &answer, now);
         }
     }
@@ -63,8 +68,12 @@
 
     // The other box keeps the limit meanwhile, and its clients get their units.
     old.questions(at(0));
-    let probe =
-        Ask { number: 1, partition: account().partition() as u8, lends: false, wants: vec![] };
+    let probe = QuotaRequest {
+        number: 1,
+        partition: account().partition() as u8,
+        lends: false,
+        unit_requests: vec![],
+    };
     assert_eq!(new.answer(keeping, &probe, at(0)), None, "it cannot keep a limit yet");
     for time in (0..2_000).step_by(100) {
         exchange(&old, &new, (keeping, joining), at(time));
