--- a/trackfront_core/src/tree/build.rs
+++ b/trackfront_core/src/tree/build.rs
@@ -1,4 +1,4 @@
-//! Puts the files of a tree together.
+//! Parses the files of a tree and builds the [`Tree`].
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,36 +11,36 @@
 use crate::units::Mib;
 
 use super::error::{TreeError, TreeErrorKind, TreeErrors, line_of};
-use super::files::{MAX_TREE_BYTES, Place, TreeFiles};
+use super::files::{FileLevel, MAX_TREE_BYTES, TreeFiles};
 use super::policy::Policy;
 use super::schema::{
-    AdapterFile, BackendTable, CallerTable, KindWord, ModelFile, RegionFile, RootFile, RouteTable,
-    ServiceFile,
+    AdapterFile, BackendTable, CallerTable, ModelFile, RegionFile, RootFile, RouteTable,
+    ServiceFile, ServiceKindTag,
 };
 use super::{Adapter, Backend, Caller, Model, Region, Route, Service, ServiceKind, Tree};
 
-/// How alike a known key has to be to be proposed for an unknown one, from 0 to 1.
-const NEAR_KEY: f64 = 0.7;
+/// The Jaro-Winkler similarity, from 0 to 1, at which a known key is suggested for an unknown one.
+const MIN_KEY_SIMILARITY: f64 = 0.7;
 
-/// Reads all files and puts the tree together, or returns all faults that were found.
+/// Parses all files and builds the tree, or returns every error that was found.
 pub fn build(files: &TreeFiles) -> Result<Tree, TreeErrors> {
     let mut builder = Builder { files, errors: Vec::new() };
-    let tree = builder.tree();
+    let tree = builder.build();
     match tree {
         Some(tree) if builder.errors.is_empty() => Ok(tree),
         _ => Err(TreeErrors(builder.errors)),
     }
 }
 
-/// A file that was read: its path, its text and its keys.
-struct Read<T> {
+/// A parsed file: its path, its text and its keys.
+struct ParsedFile<T> {
     path: Arc<str>,
     text: String,
     keys: T,
 }
 
-impl<T> Read<T> {
-    /// Makes the error about a value of this file.
+impl<T> ParsedFile<T> {
+    /// Creates the error for a value of this file.
     fn error<V>(&self, key: &str, value: Option<&Spanned<V>>, kind: TreeErrorKind) -> TreeError {
         TreeError {
             file: self.path.to_string(),
@@ -51,30 +51,32 @@
     }
 }
 
-/// How many seconds of its rate a caller may use at once.
+/// The burst that a caller may send at once, in seconds of its rate.
 const BURST_SECS: f64 = 2.0;
 
-/// Tokens are counted where a call has some.
-const PLAIN_CALLS_TAKE_NONE: LimitUnit = LimitUnit::Tokens { plain: 0 };
+/// The unit of token limits. A request that states no token counts uses none of the limit.
+const TOKEN_LIMIT_UNIT: LimitUnit = LimitUnit::Tokens { plain: 0 };
 
-fn limit(unit: LimitUnit, rate: &Spanned<f64>) -> AccountLimit {
+/// Creates a limit from a rate per second.
+fn account_limit(unit: LimitUnit, rate: &Spanned<f64>) -> AccountLimit {
     let per_s = *rate.get_ref();
     AccountLimit { unit, per_s, burst: per_s * BURST_SECS }
 }
 
+/// Builds a tree and collects the errors of all files.
 struct Builder<'a> {
     files: &'a TreeFiles,
     errors: Vec<TreeError>,
 }
 
 impl<'a> Builder<'a> {
-    fn tree(&mut self) -> Option<Tree> {
+    fn build(&mut self) -> Option<Tree> {
         self.check_size();
-        self.check_places();
-        let root: Read<RootFile> = self.read("root.toml")?;
+        self.check_paths();
+        let root: ParsedFile<RootFile> = self.parse("root.toml")?;
         let policy = Policy::built_in().inherit(&root.keys.policy, &root.path, &root.text);
         let regions = self
-            .folders("")
+            .subfolders("")
             .into_iter()
             .filter_map(|name| Some((RegionName::from(name), self.region(name, &policy)?)))
             .collect();
@@ -87,7 +89,7 @@
         Some(Tree { deployment: root.keys.deployment, callers, regions })
     }
 
-    fn caller(&mut self, root: &Read<RootFile>, table: &CallerTable) -> Caller {
+    fn caller(&mut self, root: &ParsedFile<RootFile>, table: &CallerTable) -> Caller {
         let rates =
             [("requests_per_s", &table.requests_per_s), ("tokens_per_s", &table.tokens_per_s)];
         for (key, rate) in rates {
@@ -101,18 +103,21 @@
         }
         Caller {
             key_blake3: table.key_blake3.get_ref().clone(),
-            requests: table.requests_per_s.as_ref().map(|rate| limit(LimitUnit::Requests, rate)),
-            tokens: table.tokens_per_s.as_ref().map(|rate| limit(PLAIN_CALLS_TAKE_NONE, rate)),
+            requests: table
+                .requests_per_s
+                .as_ref()
+                .map(|rate| account_limit(LimitUnit::Requests, rate)),
+            tokens: table.tokens_per_s.as_ref().map(|rate| account_limit(TOKEN_LIMIT_UNIT, rate)),
         }
     }
 
     fn region(&mut self, name: &str, inherited: &Policy) -> Option<Region> {
-        let region: Read<RegionFile> = self.read(&format!("{name}/region.toml"))?;
+        let region: ParsedFile<RegionFile> = self.parse(&format!("{name}/region.toml"))?;
         let policy = inherited.inherit(&region.keys.policy, &region.path, &region.text);
         let halls: Vec<HallName> =
             region.keys.halls.iter().map(|hall| hall.get_ref().as_str().into()).collect();
         let services = self
-            .folders(&format!("{name}/"))
+            .subfolders(&format!("{name}/"))
             .into_iter()
             .filter_map(|service| {
                 let built = self.service(&format!("{name}/{service}"), &policy, &halls)?;
@@ -123,7 +128,7 @@
     }
 
     fn service(&mut self, folder: &str, inherited: &Policy, halls: &[HallName]) -> Option<Service> {
-        let service: Read<ServiceFile> = self.read(&format!("{folder}/service.toml"))?;
+        let service: ParsedFile<ServiceFile> = self.parse(&format!("{folder}/service.toml"))?;
         let policy = inherited.inherit(&service.keys.policy, &service.path, &service.text);
         let mut backends = BTreeMap::new();
         for table in &service.keys.backends {
@@ -138,11 +143,11 @@
             }
         }
         let kind = match service.keys.kind {
-            KindWord::Engines => {
+            ServiceKindTag::Engines => {
                 self.refuse_routes(&service);
                 ServiceKind::Engines { models: self.models(folder, &policy) }
             }
-            KindWord::Plain => {
+            ServiceKindTag::Plain => {
                 self.refuse_models(folder);
                 let routes = service.keys.routes.iter().map(|r| route(r.get_ref())).collect();
                 ServiceKind::Plain { routes }
@@ -152,7 +157,7 @@
     }
 
     fn models(&mut self, folder: &str, inherited: &Policy) -> BTreeMap<ModelName, Model> {
-        self.folders(&format!("{folder}/"))
+        self.subfolders(&format!("{folder}/"))
             .into_iter()
             .filter_map(|name| {
                 let model = self.model(&format!("{folder}/{name}"), inherited)?;
@@ -162,7 +167,7 @@
     }
 
     fn model(&mut self, folder: &str, inherited: &Policy) -> Option<Model> {
-        let model: Read<ModelFile> = self.read(&format!("{folder}/model.toml"))?;
+        let model: ParsedFile<ModelFile> = self.parse(&format!("{folder}/model.toml"))?;
         let policy = inherited.inherit(&model.keys.policy, &model.path, &model.text);
         self.check_weights(&model, &model.keys.weights_mib);
         let paths: Vec<&String> = self
@@ -173,7 +178,7 @@
             .collect();
         let mut adapters = BTreeMap::new();
         for path in paths {
-            let Ok(Place::Adapter(_, _, _, name)) = Place::of(path) else {
+            let Ok(FileLevel::Adapter(_, _, _, name)) = FileLevel::of(path) else {
                 continue;
             };
             if let Some(adapter) = self.adapter(path, &policy) {
@@ -189,7 +194,7 @@
     }
 
     fn adapter(&mut self, path: &str, inherited: &Policy) -> Option<Adapter> {
-        let adapter: Read<AdapterFile> = self.read(path)?;
+        let adapter: ParsedFile<AdapterFile> = self.parse(path)?;
         self.check_weights(&adapter, &adapter.keys.weights_mib);
         Some(Adapter {
             version: adapter.keys.version.as_str().into(),
@@ -198,8 +203,8 @@
         })
     }
 
-    /// Reads one file's keys; a fault is kept and `None` returned.
-    fn read<T: DeserializeOwned>(&mut self, path: &str) -> Option<Read<T>> {
+    /// Parses the file at `path`. On failure, records the error and returns `None`.
+    fn parse<T: DeserializeOwned>(&mut self, path: &str) -> Option<ParsedFile<T>> {
         let Some(text) = self.files.0.get(path) else {
             self.errors.push(TreeError {
                 file: path.to_string(),
@@ -210,7 +215,7 @@
             return None;
         };
         match toml::from_str(text) {
-            Ok(keys) => Some(Read { path: path.into(), text: text.clone(), keys }),
+            Ok(keys) => Some(ParsedFile { path: path.into(), text: text.clone(), keys }),
             Err(error) => {
                 self.errors.push(toml_error(path, text, &error));
                 None
@@ -219,7 +224,7 @@
     }
 
     /// Returns the names of the folders directly below `prefix`.
-    fn folders(&self, prefix: &str) -> Vec<&'a str> {
+    fn subfolders(&self, prefix: &str) -> Vec<&'a str> {
         let mut names: Vec<&str> = self
             .files
             .0
@@ -242,13 +247,13 @@
         }
     }
 
-    fn check_places(&mut self) {
+    fn check_paths(&mut self) {
         let stray =
-            self.files.0.keys().filter_map(|path| Place::of(path).err()).map(|error| *error);
+            self.files.0.keys().filter_map(|path| FileLevel::of(path).err()).map(|error| *error);
         self.errors.extend(stray);
     }
 
-    fn check_weights<T>(&mut self, file: &Read<T>, weights: &Spanned<u64>) {
+    fn check_weights<T>(&mut self, file: &ParsedFile<T>, weights: &Spanned<u64>) {
         if *weights.get_ref() == 0 {
             let kind = TreeErrorKind::BadValue {
                 problem: "the weights take no memory".into(),
@@ -260,7 +265,7 @@
 
     fn check_backend(
         &mut self,
-        service: &Read<ServiceFile>,
+        service: &ParsedFile<ServiceFile>,
         table: &Spanned<BackendTable>,
         halls: &[HallName],
     ) {
@@ -280,7 +285,7 @@
             };
             self.errors.push(service.error("backends.hall", Some(table), kind));
         }
-        let is_engine = service.keys.kind == KindWord::Engines;
+        let is_engine = service.keys.kind == ServiceKindTag::Engines;
         if is_engine && (backend.accelerators == 0 || backend.accelerator_mib == 0) {
             let kind = TreeErrorKind::BadValue {
                 problem: format!("the engine `{}` has no accelerator memory", backend.id),
@@ -290,7 +295,7 @@
         }
     }
 
-    fn refuse_routes(&mut self, service: &Read<ServiceFile>) {
+    fn refuse_routes(&mut self, service: &ParsedFile<ServiceFile>) {
         if let Some(first) = service.keys.routes.first() {
             let kind = TreeErrorKind::BadValue {
                 problem: "a service on engines has no routes".into(),
@@ -301,7 +306,7 @@
     }
 
     fn refuse_models(&mut self, folder: &str) {
-        for name in self.folders(&format!("{folder}/")) {
+        for name in self.subfolders(&format!("{folder}/")) {
             self.errors.push(TreeError {
                 file: format!("{folder}/{name}"),
                 line: None,
@@ -314,7 +319,7 @@
     }
 }
 
-/// Returns the backend server of a table.
+/// Converts a `[[backends]]` table to a backend server.
 fn backend(table: &BackendTable) -> Backend {
     Backend {
         address: table.address.clone(),
@@ -324,7 +329,7 @@
     }
 }
 
-/// Returns the route of a table.
+/// Converts a `[[routes]]` table to a route.
 fn route(table: &RouteTable) -> Route {
     Route {
         method: table.method.as_ref().map(|method| method.to_uppercase()),
@@ -333,7 +338,7 @@
     }
 }
 
-/// Turns the TOML library's error into ours.
+/// Converts an error of the TOML parser, with the key that it concerns where that is known.
 fn toml_error(path: &str, text: &str, error: &toml::de::Error) -> TreeError {
     let offset = error.span().map(|span| span.start);
     let message = error.message().to_string();
@@ -362,7 +367,9 @@
     Some(key.trim().to_string())
 }
 
-/// Proposes the known key that is most like `name`, or lists the known ones.
+/// Suggests the known key that is most similar to `name`, or lists all known keys if none is close.
+///
+/// The known keys are taken from the parser's `message`, which quotes them after the unknown one.
 fn unknown_key_remedy(name: &str, message: &str) -> String {
     let known: Vec<&str> = message.split('`').skip(3).step_by(2).collect();
     let nearest = known
@@ -370,7 +377,9 @@
         .map(|key| (strsim::jaro_winkler(key, name), key))
         .max_by(|a, b| a.0.total_cmp(&b.0));
     match nearest {
-        Some((likeness, key)) if likeness >= NEAR_KEY => format!("did you mean `{key}`?"),
+        Some((similarity, key)) if similarity >= MIN_KEY_SIMILARITY => {
+            format!("did you mean `{key}`?")
+        }
         _ => format!("the keys here are {}", known.join(", ")),
     }
 }
--- a/trackfront_core/src/tree/files.rs
+++ b/trackfront_core/src/tree/files.rs
@@ -1,4 +1,4 @@
-//! The files of a tree as text, and what their places mean.
+//! The files of a tree as text, and the level that each path denotes.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -8,18 +8,18 @@
 
 use super::error::{TreeError, TreeErrorKind};
 
-/// The largest tree that is taken, in bytes: far over what 850 models need, far under what a
-/// box may use for control.
+/// The largest tree that is accepted, in bytes: far more than 850 models need and far less than
+/// a box may use for control data.
 pub const MAX_TREE_BYTES: usize = 4 * 1024 * 1024;
 
-/// The files of a tree by their path below its folder, with `/` between the parts.
+/// The files of a tree, by path relative to its folder and separated by `/`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TreeFiles(pub BTreeMap<String, String>);
 
-/// The level that a file is for, by its place.
+/// The level of the tree that a file describes, from its path.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place<'a> {
+pub enum FileLevel<'a> {
     /// `root.toml`
     Root,
     /// `REGION/region.toml`
@@ -33,7 +33,7 @@
 }
 
 impl TreeFiles {
-    /// Reads all TOML files below `folder`. Other files and hidden folders are passed over.
+    /// Reads all TOML files below `folder`. Skips other files and all hidden entries.
     pub fn read(folder: &Path) -> io::Result<TreeFiles> {
         let mut files = TreeFiles::default();
         read_folder(folder, "", &mut files)?;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Reads one folder into `files`.
+/// Reads one folder and its subfolders into `files`.
 fn read_folder(folder: &Path, prefix: &str, files: &mut TreeFiles) -> io::Result<()> {
     let mut entries: Vec<_> = std::fs::read_dir(folder)?.collect::<Result<_, _>>()?;
     entries.sort_by_key(std::fs::DirEntry::file_name);
@@ -77,24 +77,24 @@
     Ok(())
 }
 
-impl<'a> Place<'a> {
-    /// Finds the level of the file at `path`.
-    pub fn of(path: &'a str) -> Result<Place<'a>, Box<TreeError>> {
+impl<'a> FileLevel<'a> {
+    /// Returns the level of the file at `path`.
+    pub fn of(path: &'a str) -> Result<FileLevel<'a>, Box<TreeError>> {
         let parts: Vec<&str> = path.split('/').collect();
         match parts[..] {
-            ["root.toml"] => Ok(Place::Root),
-            [region, "region.toml"] => Ok(Place::Region(region)),
-            [region, service, "service.toml"] => Ok(Place::Service(region, service)),
-            [region, service, model, "model.toml"] => Ok(Place::Model(region, service, model)),
+            ["root.toml"] => Ok(FileLevel::Root),
+            [region, "region.toml"] => Ok(FileLevel::Region(region)),
+            [region, service, "service.toml"] => Ok(FileLevel::Service(region, service)),
+            [region, service, model, "model.toml"] => Ok(FileLevel::Model(region, service, model)),
             [region, service, model, file] if file.ends_with(".toml") => {
-                Ok(Place::Adapter(region, service, model, file.trim_end_matches(".toml")))
+                Ok(FileLevel::Adapter(region, service, model, file.trim_end_matches(".toml")))
             }
             _ => Err(Box::new(stray_file(path, parts.len()))),
         }
     }
 }
 
-/// Returns the error for a file whose place means nothing.
+/// Creates the error for a file whose path matches no level.
 fn stray_file(path: &str, depth: usize) -> TreeError {
     let remedy = match depth {
         1 => "the top folder has only `root.toml`",
--- a/trackfront_core/src/tree/schema.rs
+++ b/trackfront_core/src/tree/schema.rs
@@ -1,4 +1,4 @@
-//! The keys of each kind of file.
+//! The TOML schema of each kind of file.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 pub struct RootFile {
     /// The name of the deployment.
     pub deployment: String,
-    /// Inherited by everything.
+    /// The defaults for the whole tree.
     #[serde(default)]
     pub policy: PolicyTable,
     /// The callers by name.
@@ -27,9 +27,9 @@
 pub struct CallerTable {
     /// The BLAKE3 hash, in hexadecimal, of the caller's key.
     pub key_blake3: Spanned<String>,
-    /// Requests a second, over all boxes together; no limit if it is left out.
+    /// The limit in requests per second, over all boxes together; no limit if absent.
     pub requests_per_s: Option<Spanned<f64>>,
-    /// Tokens a second, of prompts and answers; no limit if it is left out.
+    /// The limit in prompt and answer tokens per second; no limit if absent.
     pub tokens_per_s: Option<Spanned<f64>>,
 }
 
@@ -39,15 +39,15 @@
 pub struct RegionFile {
     /// The halls of the region.
     pub halls: Vec<Spanned<String>>,
-    /// Inherited by the region's services.
+    /// The policy that the region's services inherit.
     #[serde(default)]
     pub policy: PolicyTable,
 }
 
-/// What a service runs on.
+/// The value of `kind` in `service.toml`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum KindWord {
+pub enum ServiceKindTag {
     /// Models on engines.
     Engines,
     /// A plain service.
@@ -59,14 +59,14 @@
 #[serde(deny_unknown_fields)]
 pub struct ServiceFile {
     /// What the service runs on.
-    pub kind: KindWord,
-    /// Inherited by the service's models.
+    pub kind: ServiceKindTag,
+    /// The policy that the service's models inherit.
     #[serde(default)]
     pub policy: PolicyTable,
     /// The backend servers.
     #[serde(default)]
     pub backends: Vec<Spanned<BackendTable>>,
-    /// Marked routes of a plain service.
+    /// The routes of a plain service.
     #[serde(default)]
     pub routes: Vec<Spanned<RouteTable>>,
 }
@@ -79,28 +79,29 @@
     pub id: String,
     /// The IP address and port.
     pub address: String,
-    /// The hall.
+    /// The hall that the server is in.
     pub hall: String,
-    /// How many accelerators an engine has.
+    /// The number of accelerators of an engine.
     #[serde(default)]
     pub accelerators: usize,
     /// The memory of each accelerator in MiB.
     #[serde(default)]
     pub accelerator_mib: u64,
-    /// Whether the engine checks fencing tokens. The default is the one that is safe for both.
+    /// Whether the engine checks fencing tokens. The default, `false`, is safe for
+    /// engines that do and for those that do not.
     #[serde(default)]
     pub checks_fence: bool,
 }
 
-/// A marked route in `service.toml`.
+/// A route in `service.toml`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteTable {
-    /// The method; all if it is left out.
+    /// The HTTP method; matches all if absent.
     pub method: Option<String>,
-    /// The path below the service.
+    /// The path prefix, relative to the service.
     pub path: String,
-    /// Whether calls may be repeated.
+    /// Whether calls may be sent more than once.
     pub repeatable: bool,
 }
 
@@ -110,9 +111,9 @@
 pub struct ModelFile {
     /// The version of the weights.
     pub version: String,
-    /// The memory of the weights over all accelerators together, in MiB.
+    /// The memory of the weights, summed over all accelerators, in MiB.
     pub weights_mib: Spanned<u64>,
-    /// Inherited by the model's adapters.
+    /// The policy that the model's adapters inherit.
     #[serde(default)]
     pub policy: PolicyTable,
 }
@@ -123,7 +124,7 @@
 pub struct AdapterFile {
     /// The version of the weights.
     pub version: String,
-    /// The memory of the weights over all accelerators together, in MiB.
+    /// The memory of the weights, summed over all accelerators, in MiB.
     pub weights_mib: Spanned<u64>,
     /// The adapter's own policy.
     #[serde(default)]
