--- a/trackfront_core/src/tree/mod.rs
+++ b/trackfront_core/src/tree/mod.rs
@@ -1,4 +1,4 @@
-//! The tree: what operators declare, from broad defaults at the root down to adapters.
+//! The configuration tree: what operators declare, from defaults at the root down to adapters.
 //!
 //! A tree is a folder of TOML files, one for each level:
 //!
@@ -10,8 +10,8 @@
 //! REGION/SERVICE/MODEL/ADAPTER.toml
 //! ```
 //!
-//! [`files`] holds the files as text, [`schema`] their keys, [`policy`] the keys that are
-//! inherited, [`build`] puts them together, and [`check`] proves that the whole can be run.
+//! [`files`] holds the files as text, [`schema`] defines their keys and [`policy`] the inherited
+//! keys, [`build`] parses them into a [`Tree`], and [`check`] validates it.
 
 pub mod build;
 pub mod check;
@@ -39,7 +39,7 @@
 pub use policy::Policy;
 pub use snapshot::Snapshot;
 
-/// A tree whose files have been read and put together.
+/// A tree built from its files.
 #[derive(Clone, Debug)]
 pub struct Tree {
     /// The name of the deployment.
@@ -53,11 +53,11 @@
 /// A caller.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// The BLAKE3 hash, in hexadecimal, of the key by which the caller is known.
+    /// The BLAKE3 hash, in hexadecimal, of the caller's API key.
     pub key_blake3: String,
-    /// How many requests it may send; `None` is no limit.
+    /// The request limit; `None` means no limit.
     pub requests: Option<AccountLimit>,
-    /// How many tokens of prompts and answers it may use; `None` is no limit.
+    /// The limit on prompt and answer tokens; `None` means no limit.
     pub tokens: Option<AccountLimit>,
 }
 
@@ -91,19 +91,19 @@
     },
     /// A plain service.
     Plain {
-        /// The routes that are marked; the first that fits a call decides.
+        /// The declared routes; the first that matches a call applies.
         routes: Vec<Route>,
     },
 }
 
-/// A marked route of a plain service.
+/// A declared route of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The method; `None` fits all.
+    /// The HTTP method; `None` matches all.
     pub method: Option<String>,
-    /// The path below the service that the route covers, with all below it.
+    /// The path prefix, relative to the service. It matches whole path segments only.
     pub path: String,
-    /// Whether calls may be repeated.
+    /// Whether calls may be sent more than once.
     pub repeatable: bool,
 }
 
@@ -112,7 +112,7 @@
 pub struct Backend {
     /// The IP address and port.
     pub address: String,
-    /// The hall.
+    /// The hall that the server is in.
     pub hall: HallName,
     /// The memory of each accelerator; empty for a plain service.
     pub accelerators: Vec<Mib>,
@@ -125,7 +125,7 @@
 pub struct Model {
     /// The version of the weights.
     pub version: Version,
-    /// The memory of the weights over all accelerators together.
+    /// The memory of the weights, summed over all accelerators.
     pub weights: Mib,
     /// The policy at the model's level.
     pub policy: Policy,
@@ -138,22 +138,22 @@
 pub struct Adapter {
     /// The version of the weights.
     pub version: Version,
-    /// The memory of the weights over all accelerators together.
+    /// The memory of the weights, summed over all accelerators.
     pub weights: Mib,
     /// The policy at the adapter's level.
     pub policy: Policy,
 }
 
-/// A model or adapter by the name that callers use, in one region.
+/// A model or adapter of a region, as addressed by callers.
 #[derive(Clone, Debug)]
 pub struct Target<'a> {
     /// The shard of the service.
     pub shard: ShardId,
-    /// The model.
+    /// The name of the model.
     pub model_name: &'a ModelName,
     /// The model's settings.
     pub model: &'a Model,
-    /// The adapter, if the name is an adapter's.
+    /// The adapter, if the target is one.
     pub adapter: Option<(&'a AdapterName, &'a Adapter)>,
 }
 
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Returns the item that has to be resident to answer.
+    /// Returns the item that has to be loaded to serve the target.
     pub fn item(&self) -> ItemKey {
         match self.adapter {
             Some((name, adapter)) => ItemKey {
@@ -184,7 +184,7 @@
 }
 
 impl Model {
-    /// Returns the model and its adapters as one bundle to place.
+    /// Returns the model and its adapters as one bundle for placement.
     pub fn bundle(&self, name: &ModelName) -> Bundle {
         let own = SizedItem {
             item: ItemKey { model: name.clone(), adapter: None, version: self.version.clone() },
@@ -218,24 +218,27 @@
         self.models().map(|(name, model)| model.bundle(name)).collect()
     }
 
-    /// Returns whether a call may be repeated: as marked, else by what the method promises.
+    /// Returns whether a call may be sent more than once.
+    ///
+    /// The first matching route decides. Without one, GET, HEAD and OPTIONS are repeatable. Calls
+    /// to engines always are.
     pub fn is_repeatable(&self, method: &str, path: &str) -> bool {
         let ServiceKind::Plain { routes } = &self.kind else {
             return true;
         };
         routes
             .iter()
-            .find(|route| route.fits(method, path))
+            .find(|route| route.matches(method, path))
             .map_or(matches!(method, "GET" | "HEAD" | "OPTIONS"), |route| route.repeatable)
     }
 }
 
 impl Route {
-    /// Returns whether the route covers the call.
-    fn fits(&self, method: &str, path: &str) -> bool {
-        let method_fits = self.method.as_deref().is_none_or(|wanted| wanted == method);
+    /// Returns whether the route matches the call.
+    fn matches(&self, method: &str, path: &str) -> bool {
+        let method_matches = self.method.as_deref().is_none_or(|own| own == method);
         let rest = path.strip_prefix(self.path.trim_end_matches('/'));
-        method_fits && rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
+        method_matches && rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     }
 }
 
@@ -285,7 +288,7 @@
         })
     }
 
-    /// Finds the caller that has `key`.
+    /// Returns the caller whose API key is `key`.
     pub fn caller_by_key(&self, key: &str) -> Option<&AccountName> {
         let hash = KeyHash::of(key.as_bytes()).to_hex();
         self.callers.iter().find(|(_, caller)| caller.key_blake3 == hash).map(|(name, _)| name)
--- a/trackfront_core/src/tree/tests.rs
+++ b/trackfront_core/src/tree/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn a_route_covers_its_path_and_all_below() {
+fn route_matches_path_and_subpaths() {
     let route = Route { method: None, path: "/bookings".into(), repeatable: false };
-    assert!(route.fits("POST", "/bookings"));
-    assert!(route.fits("POST", "/bookings/7"));
-    assert!(!route.fits("POST", "/bookingsx"));
+    assert!(route.matches("POST", "/bookings"));
+    assert!(route.matches("POST", "/bookings/7"));
+    assert!(!route.matches("POST", "/bookingsx"));
 }
