--- a/trackfront_core/src/tree/check.rs
+++ b/trackfront_core/src/tree/check.rs
@@ -1,4 +1,4 @@
-//! Proves that a tree can be run: references, names, limits and memory.
+//! Validates a built tree: references, unique names, value ranges and accelerator memory.
 
 use std::collections::HashMap;
 
@@ -10,13 +10,13 @@
 use super::policy::{Policy, Sourced};
 use super::{Service, ServiceKind, Tree};
 
-/// The largest priority.
+/// The largest priority that a policy may set.
 const MAX_PRIORITY: u8 = 9;
 
-/// How many characters a BLAKE3 hash has in hexadecimal.
-const HASH_CHARS: usize = 64;
+/// The length of a hexadecimal BLAKE3 hash in characters.
+const HASH_HEX_CHARS: usize = 64;
 
-/// Checks the whole tree and returns all faults that were found.
+/// Checks the whole tree and returns every error that was found.
 pub fn check(tree: &Tree) -> Result<(), TreeErrors> {
     let mut errors = Vec::new();
     check_callers(tree, &mut errors);
@@ -33,12 +33,12 @@
     if errors.is_empty() { Ok(()) } else { Err(TreeErrors(errors)) }
 }
 
-/// Makes the error about a whole file.
+/// Creates an error for a whole file.
 fn file_error(file: impl Into<String>, kind: TreeErrorKind) -> TreeError {
     TreeError { file: file.into(), line: None, key: None, kind }
 }
 
-/// Makes the error about an inherited value, at the place that set it.
+/// Creates an error for an inherited value, located where the value was set.
 fn value_error<T>(key: &str, value: &Sourced<T>, kind: TreeErrorKind) -> TreeError {
     TreeError {
         file: value.file.as_deref().unwrap_or("(built in)").to_string(),
@@ -52,7 +52,7 @@
     let mut seen: HashMap<&str, &str> = HashMap::new();
     for (name, caller) in &tree.callers {
         let hash = caller.key_blake3.as_str();
-        if hash.len() != HASH_CHARS || !hash.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        if hash.len() != HASH_HEX_CHARS || !hash.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             let kind = TreeErrorKind::BadValue {
                 problem: format!("`key_blake3` of caller `{name}` is not a BLAKE3 hash"),
                 remedy: "give the 64 hexadecimal digits of the key's hash".into(),
@@ -90,7 +90,7 @@
     }
 }
 
-/// Callers name a model or adapter by one name, so it may stand for one thing in a region.
+/// Checks that each name that callers use identifies a single model or adapter of the region.
 fn check_target_names(tree: &Tree, region: &RegionName, errors: &mut Vec<TreeError>) {
     let mut seen = HashMap::new();
     for (name, target) in tree.targets(region) {
@@ -148,17 +148,17 @@
     }
 }
 
-/// An inherited value is met at many levels and reported once.
+/// Adds an error unless it is recorded: an inherited value is checked at every level below it.
 fn push_once(errors: &mut Vec<TreeError>, error: TreeError) {
     if !errors.contains(&error) {
         errors.push(error);
     }
 }
 
-/// Checks that all bundles fit with the policy's number of engines lost, whichever they are.
+/// Checks that all bundles still fit after losing any `spare_engines` engines.
 ///
-/// Losing the engines with the most memory is the hardest case, since the rooms that remain
-/// are those of every other case or smaller.
+/// Only the loss of the engines with the most memory is checked. It is the worst case: in every
+/// other one, the rooms that remain are at least as large.
 fn check_fit(file: &str, service: &Service, name: &ServiceName, errors: &mut Vec<TreeError>) {
     if !matches!(service.kind, ServiceKind::Engines { .. }) {
         return;
@@ -178,7 +178,8 @@
     }
 }
 
-/// Returns the empty rooms of a service's engines.
+/// Returns the memory for weights on each of a service's engines while nothing is loaded: that of
+/// the accelerators less the KV cache floor.
 pub fn rooms(service: &Service) -> Vec<Room> {
     let floor = Mib(service.policy.kv_floor_mib.value);
     service
