--- a/trackfront_core/src/tree/diff.rs
+++ b/trackfront_core/src/tree/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two trees.
+//! The differences between two trees.
 
 use std::collections::BTreeSet;
 
@@ -9,19 +9,19 @@
 use super::Tree;
 use super::files::TreeFiles;
 
-/// How a file differs.
+/// The kind of difference of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FileChange {
-    /// Only the new tree has it.
+    /// Only the new tree has the file.
     Added,
-    /// Only the old tree has it.
+    /// Only the old tree has the file.
     Removed,
-    /// Both have it, with different text.
+    /// Both trees have the file, with different text.
     Changed,
 }
 
-/// What a change of tree means.
+/// The effects of replacing one tree by another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TreeDiff {
     /// The files that differ.
@@ -51,7 +51,7 @@
         .collect()
 }
 
-/// Compares two trees; `old` is `None` before the first one.
+/// Compares two trees; `old` is `None` if there is no earlier tree.
 pub fn diff(old: Option<(&TreeFiles, &Tree)>, new: (&TreeFiles, &Tree)) -> TreeDiff {
     let no_files = TreeFiles::default();
     let old_items = old.map(|(_, tree)| items(tree)).unwrap_or_default();
@@ -66,7 +66,7 @@
     }
 }
 
-/// Returns all items with their shard, as text.
+/// Returns each item of the tree as `SHARD ITEM`.
 fn items(tree: &Tree) -> BTreeSet<String> {
     tree.shards()
         .flat_map(|(shard, service)| {
@@ -77,7 +77,7 @@
         .collect()
 }
 
-/// Returns all names that callers use, with their region.
+/// Returns each name that callers use as `REGION NAME`.
 fn names(tree: &Tree) -> BTreeSet<String> {
     tree.regions
         .keys()
--- a/trackfront_core/src/tree/explain.rs
+++ b/trackfront_core/src/tree/explain.rs
@@ -1,10 +1,10 @@
-//! Which level set a value.
+//! Explains policy values: the effective value of each key and the level that set it.
 
 use super::policy::{ExplainedKey, Policy};
 use super::{ServiceKind, Tree};
 
 impl Tree {
-    /// Finds the effective policy at `path`: `REGION/SERVICE`, `REGION/SERVICE/MODEL` or
+    /// Returns the effective policy at `path`: `REGION/SERVICE`, `REGION/SERVICE/MODEL` or
     /// `REGION/SERVICE/MODEL/ADAPTER`.
     pub fn policy_at(&self, path: &str) -> Option<&Policy> {
         let mut parts = path.trim_matches('/').split('/');
@@ -24,7 +24,7 @@
         parts.next().is_none().then_some(&adapter.policy)
     }
 
-    /// Explains the keys at `path`, or only `key`.
+    /// Explains all policy keys at `path`, or only `key`. Returns `None` if nothing is at `path`.
     pub fn explain(&self, path: &str, key: Option<&str>) -> Option<Vec<ExplainedKey>> {
         let explained = self.policy_at(path)?.explain();
         Some(explained.into_iter().filter(|e| key.is_none_or(|key| key == e.key)).collect())
