--- a/trackfront_core/src/tree/error.rs
+++ b/trackfront_core/src/tree/error.rs
@@ -1,33 +1,33 @@
-//! What can be wrong with a tree: the file, the line, the key and the remedy.
+//! Errors of a tree, each with its file, line, key and remedy.
 
 use std::fmt;
 
 use thiserror::Error;
 
-/// One fault in a tree.
+/// An error in a tree.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{}: {kind}", place(.file, .line, .key))]
+#[error("{}: {kind}", location(.file, .line, .key))]
 pub struct TreeError {
-    /// The file, below the tree's folder.
+    /// The path of the file, relative to the tree's folder.
     pub file: String,
-    /// The line, from one, where it is known.
+    /// The line, counted from one, if it is known.
     pub line: Option<usize>,
-    /// The key, where there is one.
+    /// The key, if the error concerns one.
     pub key: Option<String>,
-    /// What is wrong and what to do.
+    /// The kind of error, with its remedy.
     pub kind: TreeErrorKind,
 }
 
-/// What is wrong with a tree.
+/// The kind of an error in a tree.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TreeErrorKind {
-    /// The file's place in the folder means nothing.
+    /// The path of the file matches no level of the tree.
     #[error("no file belongs here; {remedy}")]
     StrayFile {
-        /// What to do.
+        /// How to correct it.
         remedy: String,
     },
-    /// A file that its level needs is missing.
+    /// The file that describes a level is missing.
     #[error("the file is missing; add it, or remove the folder")]
     MissingFile,
     /// The file is not TOML, or a value has the wrong type.
@@ -36,47 +36,47 @@
         /// The parser's message.
         message: String,
     },
-    /// A key that the level does not have.
+    /// The level has no such key.
     #[error("unknown key; {remedy}")]
     UnknownKey {
-        /// What to do.
+        /// How to correct it.
         remedy: String,
     },
-    /// A value outside its range.
+    /// A value is invalid or outside its range.
     #[error("{problem}; {remedy}")]
     BadValue {
-        /// What is wrong.
+        /// What is wrong with the value.
         problem: String,
-        /// What to do.
+        /// How to correct it.
         remedy: String,
     },
-    /// A name that stands for two things.
+    /// Two things have the same name.
     #[error("`{name}` is also used by {other}; rename one of them")]
     DuplicateName {
-        /// The name.
+        /// The duplicate name.
         name: String,
-        /// The other place.
+        /// The other user of the name.
         other: String,
     },
-    /// A reference to something that is not there.
+    /// A reference to something that the tree does not define.
     #[error("there is no {what} `{name}`; {remedy}")]
     NoSuch {
-        /// What kind of thing.
+        /// The kind of thing that is referred to.
         what: &'static str,
         /// Its name.
         name: String,
-        /// What to do.
+        /// How to correct it.
         remedy: String,
     },
     /// The models and adapters do not fit in accelerator memory.
     #[error("{problem}; add engines, or move or shrink models, or lower `spare_engines`")]
     DoesNotFit {
-        /// What does not fit where.
+        /// The service, the item that does not fit and the memory that it needs.
         problem: String,
     },
 }
 
-/// All faults that were found in a tree.
+/// All errors that were found in a tree. `Display` writes one per line.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct TreeErrors(pub Vec<TreeError>);
 
@@ -87,19 +87,19 @@
     }
 }
 
-/// Returns `file:line: key`, as far as known.
-fn place(file: &str, line: &Option<usize>, key: &Option<String>) -> String {
-    let mut place = file.to_string();
+/// Returns the file, line and key as one text, without the parts that are unknown.
+fn location(file: &str, line: &Option<usize>, key: &Option<String>) -> String {
+    let mut location = file.to_string();
     if let Some(line) = line {
-        place.push_str(&format!(":{line}"));
+        location.push_str(&format!(":{line}"));
     }
     if let Some(key) = key {
-        place.push_str(&format!(": key `{key}`"));
+        location.push_str(&format!(": key `{key}`"));
     }
-    place
+    location
 }
 
-/// Returns the line, from one, of the byte at `offset`.
+/// Returns the line, counted from one, of the byte at `offset`.
 pub fn line_of(text: &str, offset: usize) -> usize {
     text.as_bytes().iter().take(offset).filter(|byte| **byte == b'\n').count() + 1
 }
