--- a/trackfront_core/src/tree/policy.rs
+++ b/trackfront_core/src/tree/policy.rs
@@ -1,4 +1,4 @@
-//! The keys that every level may set and that the levels below inherit.
+//! The policy keys, which every level may set and lower levels inherit.
 
 use std::sync::Arc;
 
@@ -7,40 +7,42 @@
 
 use super::error::line_of;
 
-/// A file of the tree, for naming where a value was set.
+/// A file of the tree, as the origin of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Source {
-    /// The path below the tree's folder.
+    /// The path relative to the tree's folder.
     pub path: Arc<str>,
 }
 
-/// A value and where it was set.
+/// A value with its origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sourced<T> {
     /// The value.
     pub value: T,
     /// The file that set it; `None` for the built-in default.
     pub file: Option<Arc<str>>,
-    /// The line that set it, from one.
+    /// The line that set it, counted from one.
     pub line: usize,
 }
 
-/// One key's effective value as text, with where it was set.
+/// The effective value of a key as text, with its origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExplainedKey {
     /// The key.
     pub key: &'static str,
-    /// The value, as it would stand in TOML.
+    /// The value as JSON, which is valid TOML for all types of keys.
     pub value: String,
     /// The file that set it; `None` for the built-in default.
     pub file: Option<Arc<str>>,
-    /// The line that set it, from one.
+    /// The line that set it, counted from one.
     pub line: usize,
-    /// What the key is for.
+    /// The description of the key.
     pub about: &'static str,
 }
 
-/// Declares the inherited keys once: the raw table, the effective policy, and how to explain it.
+/// Generates the `[policy]` table, the effective policy and its explanation from one list of keys.
+///
+/// The doc comment of a key is also its description in [`ExplainedKey::about`].
 macro_rules! policy_keys {
     ($($(#[doc = $about:literal])* $key:ident: $type:ty = $default:expr;)*) => {
         /// The `[policy]` table of one file.
@@ -67,8 +69,8 @@
                 }
             }
 
-            /// Returns the policy of a level below: `table`, found in `path` with `text`, goes
-            /// before what is inherited.
+            /// Returns the policy of a lower level, where the values of `table` override the
+            /// inherited ones. `path` and `text` are of the file that has the table.
             pub fn inherit(&self, table: &PolicyTable, path: &Arc<str>, text: &str) -> Policy {
                 Policy {
                     $($key: match &table.$key {
