--- a/trackfront_core/src/tree/snapshot.rs
+++ b/trackfront_core/src/tree/snapshot.rs
@@ -1,4 +1,4 @@
-//! A committed tree as it is stored and passed on.
+//! Committed trees, as they are stored and sent between boxes.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -7,7 +7,7 @@
 
 use super::files::TreeFiles;
 
-/// A committed tree: its files, its number and its checksum.
+/// A committed tree: its files, revision and checksum.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The revision.
@@ -18,7 +18,7 @@
     pub files: TreeFiles,
 }
 
-/// The value of the table's head row: which tree is accepted.
+/// The value of the table's head row, which names the accepted tree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// The revision.
@@ -27,28 +27,29 @@
     pub digest: String,
     /// The transaction that committed it.
     pub txn: TxnId,
-    /// Who asked for it.
+    /// Who requested the change.
     pub author: String,
-    /// The reason given.
+    /// The reason that the author gave.
     pub reason: String,
-    /// The latest changes, newest first, by which a repeated request is known.
+    /// The latest accepted changes, newest first, to recognize a repeated request.
     pub recent: Vec<RecentApply>,
 }
 
-/// A change that was accepted.
+/// An accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecentApply {
     /// The transaction that committed it.
     pub txn: TxnId,
-    /// The revision that it became.
+    /// The revision that the change created.
     pub revision: Revision,
 }
 
-/// How many changes the head row remembers: more than come in the longest outage of a reply.
-const MAX_RECENT: usize = 64;
+/// The number of changes that the head row keeps: more than are accepted during the longest outage
+/// in which replies are lost.
+const MAX_RECENT_APPLIES: usize = 64;
 
 impl Head {
-    /// Returns the head that follows `before`.
+    /// Returns the successor of `before`, or the first head.
     pub fn next(
         before: Option<&Head>,
         digest: String,
@@ -59,21 +60,21 @@
         let revision = Revision(before.map_or(0, |head| head.revision.0) + 1);
         let older = before.map(|head| head.recent.as_slice()).unwrap_or_default();
         let recent = std::iter::once(RecentApply { txn: txn.clone(), revision })
-            .chain(older.iter().take(MAX_RECENT - 1).cloned())
+            .chain(older.iter().take(MAX_RECENT_APPLIES - 1).cloned())
             .collect();
         Head { revision, digest, txn, author, reason, recent }
     }
 
-    /// Returns the revision that the transaction `txn` became, if it was accepted lately.
+    /// Returns the revision that `txn` committed, if it is among the recent changes.
     pub fn accepted(&self, txn: &TxnId) -> Option<Revision> {
         self.recent.iter().find(|apply| apply.txn == *txn).map(|apply| apply.revision)
     }
 }
 
-/// Why a snapshot is refused.
+/// The reason that a snapshot is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SnapshotError {
-    /// It does not decode.
+    /// The bytes are not an encoded snapshot.
     #[error("the snapshot does not decode: {0}; it is fetched again from elsewhere")]
     Undecodable(String),
     /// The files do not match the checksum.
@@ -82,22 +83,22 @@
 }
 
 impl Snapshot {
-    /// Makes the snapshot of `files` as `revision`.
+    /// Creates the snapshot of `files` as `revision`.
     pub fn new(revision: Revision, files: TreeFiles) -> Snapshot {
         Snapshot { revision, digest: files.digest(), files }
     }
 
-    /// Returns the name of the object that holds it.
+    /// Returns the name of the stored object that holds the snapshot.
     pub fn object_name(revision: Revision, digest: &str) -> String {
         format!("tree/{:012}-{digest}", revision.0)
     }
 
-    /// Encodes the snapshot.
+    /// Encodes the snapshot as JSON.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("a snapshot is maps and text only")
     }
 
-    /// Decodes a snapshot and checks its checksum.
+    /// Decodes a snapshot and verifies its checksum.
     pub fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
         let snapshot: Snapshot = serde_json::from_slice(bytes)
             .map_err(|error| SnapshotError::Undecodable(error.to_string()))?;
