--- a/trackfront_core/tests/trees.rs
+++ b/trackfront_core/tests/trees.rs
@@ -1,4 +1,4 @@
-//! Faulty trees: each case is a TOML file with the files of a tree and the faults to expect.
+//! Runs each TOML file in `tests/trees` as a case: the files of a tree and the errors to expect.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -6,29 +6,32 @@
 use serde::Deserialize;
 use trackfront_core::tree::{TreeFiles, build, check};
 
-/// One case.
+/// A test case.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Case {
-    /// Files that go beside those of the sound tree, or replace them.
+    /// Files that are added to the valid tree or replace its files.
     #[serde(default)]
     files: BTreeMap<String, String>,
-    /// Files of the sound tree that are left out.
+    /// Files that are removed from the valid tree.
     #[serde(default)]
     without: Vec<String>,
-    /// The faults, each with the start of its line and a part of the rest.
-    faults: Vec<Fault>,
+    /// The expected errors; a case passes only if no other error is reported.
+    errors: Vec<ExpectedError>,
 }
 
+/// An expected error.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Fault {
-    place: String,
-    says: String,
+struct ExpectedError {
+    /// The start of the error text: file, line and key.
+    location: String,
+    /// A part of the error text.
+    message: String,
 }
 
-/// A small tree without faults.
-fn sound() -> BTreeMap<String, String> {
+/// Returns a small valid tree.
+fn valid_tree() -> BTreeMap<String, String> {
     let engine = |index: usize| {
         format!(
             "[[backends]]\nid = \"e{index}\"\naddress = \"127.0.0.1:{}\"\nhall = \"a\"\n\
@@ -48,22 +51,22 @@
     .collect()
 }
 
-fn run(path: &Path) -> datatest_stable::Result<()> {
+fn reports_expected_errors(path: &Path) -> datatest_stable::Result<()> {
     let case: Case = toml::from_str(&std::fs::read_to_string(path)?)?;
-    let mut files = sound();
+    let mut files = valid_tree();
     files.extend(case.files);
     files.retain(|path, _| !case.without.contains(path));
     let result = build(&TreeFiles(files)).and_then(|tree| check::check(&tree));
     let errors = result.err().map(|errors| errors.0).unwrap_or_default();
     let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
-    let matched = lines.len() == case.faults.len()
+    let matched = lines.len() == case.errors.len()
         && case
-            .faults
+            .errors
             .iter()
-            .all(|f| lines.iter().any(|l| l.starts_with(&f.place) && l.contains(&f.says)));
-    if matched { Ok(()) } else { Err(format!("found other faults: {lines:#?}").into()) }
+            .all(|e| lines.iter().any(|l| l.starts_with(&e.location) && l.contains(&e.message)));
+    if matched { Ok(()) } else { Err(format!("unexpected errors: {lines:#?}").into()) }
 }
 
 datatest_stable::harness! {
-    { test = run, root = "tests/trees", pattern = r"\.toml$" },
+    { test = reports_expected_errors, root = "tests/trees", pattern = r"\.toml$" },
 }
