--- a/trackfront_core/src/quota/mod.rs
+++ b/trackfront_core/src/quota/mod.rs
@@ -1,15 +1,15 @@
-//! Limits of client accounts over all boxes together, without a central counter and without the store.
+//! Account limits that hold across all boxes, without a central counter and without the store.
 //!
-//! Each of N boxes has the right to an Nth of every limit. A box lends its right to one box at a time, the
-//! keeper of the account's partition, by asking it again and again; a keeper grants what the rights that it
-//! was lent bring in ([`pool`]). So boxes need not agree on who keeps a partition: each right is counted in one
-//! place, whoever is cut off, and a box that hears nobody is its own keeper and has its own Nth. Boxes choose
-//! keepers by rendezvous hashing over those that answer ([`share`]), so in quiet times there is one for each
-//! partition, and an account may use its whole limit through whichever boxes its clients reach.
+//! Each of N boxes holds a quota of 1/N of every limit. A box lends its quota to one box at a time, the coordinator
+//! of the account's partition, and renews the loan periodically. A coordinator grants the units that accrue from the
+//! quotas lent to it ([`pool`]). Boxes therefore need not agree on the coordinator of a partition: each quota is
+//! counted in one place, whichever boxes are partitioned from each other, and an isolated box coordinates for itself
+//! with its own 1/N. Boxes choose coordinators by rendezvous hashing over the boxes that respond ([`share`]), so a
+//! stable cluster has one for each partition, and an account can use its whole limit through any boxes.
 //!
-//! Over a window of length W an account of rate r and burst b is granted at most r·W + b, and beyond that what
-//! is used later than it was granted ([`share::GRANT_LIFETIME`]) and what two keepers count of a box that moved
-//! without a farewell ([`pool::LOAN_DURATION`]): `tests/quota` bounds both.
+//! Over a window of length W, an account with rate r and burst b is granted at most r·W + b, plus units that are used
+//! later than they were granted ([`share::GRANT_LIFETIME`]) and units that two coordinators both count for a box that
+//! switched without revoking its loan ([`pool::LOAN_DURATION`]). `tests/quota` bounds both.
 
 pub mod pool;
 pub mod share;
@@ -18,22 +18,21 @@
 
 use crate::ids::AccountName;
 
-/// How many groups of accounts there are, each with a keeper of its own: at 320 boxes and 4,800 requests a
-/// second a keeper is asked some 1,400 times a second, and each box sends 20 questions a second to keep its
-/// rights lent.
+/// The number of account partitions, each with its own coordinator. With 320 boxes and 4,800 requests a second, a
+/// coordinator receives about 1,400 quota requests a second, and each box sends 20 a second to renew its loans.
 pub const PARTITIONS: usize = 8;
 
-/// A client account in messages between boxes: a hash of its name.
+/// The hash of a client account's name, which identifies it in messages between boxes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AccountId(u64);
 
 impl AccountId {
-    /// Returns the identity of an account.
+    /// Returns the ID of an account's main limit.
     pub fn of(name: &AccountName) -> Self {
         Self::hashed(name.as_str().as_bytes())
     }
 
-    /// Returns the identity of an account's limit of requests, where it has one of tokens beside that.
+    /// Returns the ID of an account's request limit, for accounts that also have a token limit.
     pub fn of_requests(name: &AccountName) -> Self {
         Self::hashed(format!("{name}\0requests").as_bytes())
     }
@@ -43,66 +42,66 @@
         Self(u64::from_le_bytes(hash.as_bytes()[..8].try_into().expect("a hash has 32 bytes")))
     }
 
-    /// Returns the partition that the account is in.
+    /// Returns the account's partition, less than [`PARTITIONS`].
     pub fn partition(self) -> usize {
         (self.0 % PARTITIONS as u64) as usize
     }
 }
 
-/// A box, by its address.
+/// A box, identified by its IPv4 address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BoxId(pub u32);
 
-/// What a box asks a keeper.
+/// A quota request from a box to a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaRequest {
-    /// Which question it is of those of the box.
+    /// The sender's sequence number.
     pub number: u32,
-    /// The partition that it is about.
+    /// The partition of the accounts.
     pub partition: u8,
-    /// Whether the box lends its right to the keeper, or takes it back.
+    /// Whether the box lends its quota to the coordinator; `false` revokes the loan.
     pub lends: bool,
-    /// The units wanted, at most one entry per account.
+    /// The units that the box needs, at most one entry per account.
     pub unit_requests: Vec<UnitRequest>,
 }
 
-/// What a box wants of one account.
+/// The units of one account that a box needs or returns.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnitRequest {
     /// The account.
     pub account: AccountId,
-    /// The units of each request that waits.
+    /// The units of each waiting request.
     pub waiting_units: Vec<u32>,
-    /// The units that are likely to be needed soon.
+    /// The units that will probably be needed soon.
     pub prefetch_units: u32,
-    /// Granted units of requests that did not run.
+    /// Returned units: granted to requests that did not run.
     pub returned_units: u32,
 }
 
-/// What a keeper answers.
+/// A coordinator's reply to a [`QuotaRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaReply {
-    /// The question that this answers.
+    /// The sequence number of the request.
     pub number: u32,
-    /// The partition that it is about.
+    /// The partition of the accounts.
     pub partition: u8,
-    /// One for each want, in their order.
+    /// One grant for each unit request, in the same order.
     pub grants: Vec<Grant>,
 }
 
-/// What is granted of one account.
+/// The units granted for one account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// How many of the requests that wait, from the first.
+    /// How many of the waiting requests are granted, counted from the first.
     pub requests: u32,
-    /// Units beside those.
+    /// Units granted in advance, beyond those of the waiting requests.
     pub prefetch_units: u32,
-    /// In how many milliseconds the next request would be granted.
+    /// The estimated time until the next request would be granted, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// Returns the boxes in the order in which they keep a partition: rendezvous hashing, so that the loss of a
-/// box moves only what it kept.
+/// Ranks the boxes as coordinators of a partition. Rendezvous hashing ensures that the loss of a box moves only the
+/// partitions that it coordinated.
 pub fn rank_coordinators(partition: usize, boxes: impl Iterator<Item = BoxId>) -> Vec<BoxId> {
     let mut ranked: Vec<(u64, BoxId)> =
         boxes.map(|id| (mix(((partition as u64) << 32) | u64::from(id.0)), id)).collect();
@@ -110,7 +109,7 @@
     ranked.into_iter().map(|(_, id)| id).collect()
 }
 
-/// Mixes the bits of a number (the finalizer of SplitMix64).
+/// Hashes a number with the SplitMix64 finalizer.
 fn mix(number: u64) -> u64 {
     let number = number.wrapping_add(0x9E37_79B9_7F4A_7C15);
     let number = (number ^ (number >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/trackfront_core/src/quota/pool.rs
+++ b/trackfront_core/src/quota/pool.rs
@@ -1,4 +1,4 @@
-//! The keeper's side: rights that boxes have lent, and the units that they bring in.
+//! The coordinator's side: quotas lent by other boxes, and the units that accrue from them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,60 +8,60 @@
 
 use super::{AccountId, BoxId, Grant, QuotaReply, QuotaRequest, UnitRequest};
 
-/// How long a right counts after the question that lent it: two questions may be lost.
+/// How long a loan lasts after the request that made or renewed it: two renewals may be lost.
 pub const LOAN_DURATION: Duration = Duration::from_millis(1_000);
 
-/// The least burst, in seconds of the rate, for accounts that have none: what comes in between two questions
-/// has to be kept somewhere. With 0.25 s, and links that come and go, a window had 1.004 of its bound.
-const LEAST_BURST_S: f64 = 0.1;
+/// The minimum burst, in seconds of the rate. Accounts without a burst need it to accumulate units between two
+/// requests. With 0.25 s and flapping links, a window reached 1.004 of its bound.
+const MIN_BURST_S: f64 = 0.1;
 
-/// The part of the burst above which units are granted ahead of need: below it they are kept for requests
-/// that wait, whichever box they are at.
-const AHEAD_FROM: f64 = 0.5;
+/// The fraction of the burst that must remain after units are granted in advance. It is reserved for waiting requests
+/// of all boxes.
+const PREFETCH_RESERVE: f64 = 0.5;
 
-/// The part of all rights above which a request larger than the burst may pass, on credit. Several pools that
-/// did so would give the same credit several times.
-const CREDIT_FROM: f64 = 0.5;
+/// The fraction of all quotas above which a request larger than the burst may pass on credit. If several pools could
+/// do so, they would extend the same credit several times.
+const CREDIT_MIN_FRACTION: f64 = 0.5;
 
-/// The longest time to come back that is told.
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
+/// The upper limit of [`Grant::wait_ms`].
+const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// The rights that one box was lent for one partition, and what accounts have left of them.
+/// The quotas lent to one box for one partition, and the units that accounts have left.
 #[derive(Debug, Default)]
 pub struct Pool {
-    members: HashMap<BoxId, Member>,
-    /// The part of all rights times seconds that were lent so far.
+    lenders: HashMap<BoxId, Lender>,
+    /// The integral over time of the lent fraction of all quotas, in seconds.
     lent_s: f64,
-    settled: Moment,
+    accrued_at: Moment,
     buckets: HashMap<AccountId, Bucket>,
 }
 
 #[derive(Debug)]
-struct Member {
+struct Lender {
     until: Moment,
-    /// The last answer, which is given again if its question comes again.
-    last: Option<QuotaReply>,
+    /// The last reply, sent again if its request is repeated.
+    last_reply: Option<QuotaReply>,
 }
 
 #[derive(Debug)]
 struct Bucket {
     level: f64,
-    /// Up to where `lent_s` is in the level.
+    /// The value of [`Pool::lent_s`] up to which units were added to the level.
     filled_s: f64,
-    /// Units of requests that were told to come back, less what has come in since.
-    awaited: f64,
+    /// Units of requests that were told to retry, less the units accrued since.
+    retry_units: f64,
 }
 
-/// The terms that an answer is given under.
+/// The limits and the number of boxes that a reply is based on.
 pub struct PoolTerms<'a> {
     /// The limits of accounts.
     pub limits: &'a HashMap<AccountId, AccountLimit>,
-    /// How many boxes share them; `None` while that is not known, when nothing is granted.
+    /// How many boxes share the limits. Nothing is granted while this is `None` (unknown).
     pub boxes: Option<usize>,
 }
 
 impl Pool {
-    /// Answers a question.
+    /// Handles a request and returns the reply.
     pub fn answer(
         &mut self,
         from: BoxId,
@@ -69,80 +69,81 @@
         terms: &PoolTerms<'_>,
         now: Moment,
     ) -> QuotaReply {
-        self.settle(terms.boxes, now);
-        let again = self.members.get(&from).and_then(|member| member.last.as_ref());
-        let again = again.filter(|last| last.number == request.number).cloned();
+        self.accrue(terms.boxes, now);
+        let repeated = self.lenders.get(&from).and_then(|lender| lender.last_reply.as_ref());
+        let repeated = repeated.filter(|last| last.number == request.number).cloned();
         if !request.lends {
-            self.members.remove(&from);
+            self.lenders.remove(&from);
             let grants = vec![Grant::default(); request.unit_requests.len()];
             return QuotaReply { number: request.number, partition: request.partition, grants };
         }
         let until = now + LOAN_DURATION;
-        self.members.entry(from).or_insert(Member { until, last: None }).until = until;
-        if let Some(again) = again {
-            return again;
+        self.lenders.entry(from).or_insert(Lender { until, last_reply: None }).until = until;
+        if let Some(reply) = repeated {
+            return reply;
         }
-        let part = self.part(terms.boxes);
+        let fraction = self.lent_fraction(terms.boxes);
         let grants =
-            request.unit_requests.iter().map(|want| self.grant(want, part, terms)).collect();
-        let answer = QuotaReply { number: request.number, partition: request.partition, grants };
-        if let Some(member) = self.members.get_mut(&from) {
-            member.last = Some(answer.clone());
+            request.unit_requests.iter().map(|want| self.grant(want, fraction, terms)).collect();
+        let reply = QuotaReply { number: request.number, partition: request.partition, grants };
+        if let Some(lender) = self.lenders.get_mut(&from) {
+            lender.last_reply = Some(reply.clone());
         }
-        answer
+        reply
     }
 
-    /// Returns how many boxes lend their right.
+    /// Returns how many boxes lend their quota to this pool.
     pub fn lenders(&self) -> usize {
-        self.members.len()
+        self.lenders.len()
     }
 
-    /// Counts what the rights brought in since the last time, and forgets those that are over.
-    fn settle(&mut self, boxes: Option<usize>, now: Moment) {
-        let since = self.settled;
-        self.settled = now;
+    /// Adds the time that quotas were lent since the last call, and drops expired loans.
+    fn accrue(&mut self, boxes: Option<usize>, now: Moment) {
+        let since = self.accrued_at;
+        self.accrued_at = now;
         if let Some(boxes) = boxes {
-            let lent = |member: &Member| member.until.min(now).since(since).as_secs_f64();
-            let lent: f64 = self.members.values().map(lent).sum();
-            // However many boxes lend, together they have one whole right.
-            self.lent_s += lent / boxes.max(self.members.len()).max(1) as f64;
+            let lent = |lender: &Lender| lender.until.min(now).since(since).as_secs_f64();
+            let lent: f64 = self.lenders.values().map(lent).sum();
+            // The lent quotas never add up to more than one whole limit, however many boxes lend.
+            self.lent_s += lent / boxes.max(self.lenders.len()).max(1) as f64;
         }
-        self.members.retain(|_, member| member.until > now);
+        self.lenders.retain(|_, lender| lender.until > now);
     }
 
-    /// Returns the part of all rights that is lent here now.
-    fn part(&self, boxes: Option<usize>) -> f64 {
-        let members = self.members.len();
-        boxes.map_or(0.0, |boxes| members as f64 / boxes.max(members).max(1) as f64)
+    /// Returns the fraction of all quotas that is currently lent to this pool.
+    fn lent_fraction(&self, boxes: Option<usize>) -> f64 {
+        let lenders = self.lenders.len();
+        boxes.map_or(0.0, |boxes| lenders as f64 / boxes.max(lenders).max(1) as f64)
     }
 
-    fn grant(&mut self, want: &UnitRequest, part: f64, terms: &PoolTerms<'_>) -> Grant {
+    fn grant(&mut self, want: &UnitRequest, fraction: f64, terms: &PoolTerms<'_>) -> Grant {
         let Some(limit) = terms.limits.get(&want.account) else {
             return Grant::default();
         };
         let lent_s = self.lent_s;
-        // What came in before the first request of an account is the account's as well.
-        let new = Bucket { level: 0.0, filled_s: 0.0, awaited: 0.0 };
+        // An account also gets the units that accrued before its first request.
+        let new = Bucket { level: 0.0, filled_s: 0.0, retry_units: 0.0 };
         let bucket = self.buckets.entry(want.account).or_insert(new);
-        let burst = limit.burst.max(limit.per_s * LEAST_BURST_S);
-        let most = burst * part;
+        let burst = limit.burst.max(limit.per_s * MIN_BURST_S);
+        let max_level = burst * fraction;
         let gained = limit.per_s * (lent_s - bucket.filled_s);
         bucket.filled_s = lent_s;
-        bucket.awaited = (bucket.awaited - gained).max(0.0);
-        bucket.level = (bucket.level + gained + f64::from(want.returned_units)).min(most);
+        bucket.retry_units = (bucket.retry_units - gained).max(0.0);
+        bucket.level = (bucket.level + gained + f64::from(want.returned_units)).min(max_level);
         let mut grant = Grant::default();
         for need in &want.waiting_units {
             let need = f64::from(*need);
-            let on_credit = need > burst && part > CREDIT_FROM && bucket.level >= most;
+            let on_credit =
+                need > burst && fraction > CREDIT_MIN_FRACTION && bucket.level >= max_level;
             if need > bucket.level && !on_credit {
-                bucket.awaited += need;
-                grant.wait_ms = wait_ms(bucket.awaited - bucket.level, limit.per_s * part);
+                bucket.retry_units += need;
+                grant.wait_ms = wait_ms(bucket.retry_units - bucket.level, limit.per_s * fraction);
                 return grant;
             }
             bucket.level -= need;
             grant.requests += 1;
         }
-        if bucket.level - f64::from(want.prefetch_units) >= most * AHEAD_FROM {
+        if bucket.level - f64::from(want.prefetch_units) >= max_level * PREFETCH_RESERVE {
             bucket.level -= f64::from(want.prefetch_units);
             grant.prefetch_units = want.prefetch_units;
         }
@@ -151,6 +152,6 @@
 }
 
 fn wait_ms(units: f64, per_s: f64) -> u32 {
-    let longest = LONGEST_WAIT.as_millis() as f64;
+    let longest = MAX_WAIT.as_millis() as f64;
     (units / per_s.max(f64::MIN_POSITIVE) * 1_000.0).clamp(1.0, longest).ceil() as u32
 }
