--- a/trackfront_core/src/placement/draft.rs
+++ b/trackfront_core/src/placement/draft.rs
@@ -1,4 +1,4 @@
-//! What a shard would look like after the moves so far.
+//! The draft of a shard: its state after the moves planned so far.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,20 +11,24 @@
 use super::plan::{EngineState, Move, PlanInput, RecentLoad};
 use super::{Bundle, SizedItem};
 
-/// The share of an engine's capacity up to which it may be filled.
-pub const FILL: f64 = 0.70;
+/// The fraction of an engine's capacity up to which it may be loaded.
+pub const TARGET_FRACTION: f64 = 0.70;
 
-/// How often the demand is spread anew until the engines' loads are level.
-const LEVEL_ROUNDS: usize = 4;
+/// The number of passes that balance the demand over the engines.
+const BALANCE_PASSES: usize = 4;
 
-/// An engine in the draft: what it would hold after the moves so far.
+/// An engine in the draft, in its state after the moves planned so far.
 pub struct DraftEngine {
+    /// The number of accelerators that an item is split across.
     pub accelerators: usize,
+    /// The free memory on each accelerator.
     pub free: Mib,
     pub held: HashMap<ItemKey, Holding>,
+    /// Whether new items may be loaded: the engine responds and is not leaving.
     pub takes_loads: bool,
     pub usable: bool,
     pub capacity: Option<f64>,
+    /// The concurrent requests that the engine is expected to get.
     pub load: f64,
 }
 
@@ -41,7 +45,7 @@
         }
     }
 
-    /// Returns whether the engine has `item` and keeps it.
+    /// Returns whether the engine has `item`, or is loading it, and does not unload it.
     pub fn keeps(&self, item: &ItemKey) -> bool {
         matches!(self.held.get(item), Some(Holding::Arriving | Holding::Ready))
     }
@@ -50,21 +54,23 @@
         self.held.get(item) == Some(&Holding::Ready)
     }
 
-    /// Returns how much more load the engine may be filled with.
+    /// Returns how much more load the engine may get.
     fn spare(&self) -> f64 {
-        self.capacity.map_or(f64::INFINITY, |capacity| (capacity * FILL - self.load).max(0.0))
+        self.capacity
+            .map_or(f64::INFINITY, |capacity| (capacity * TARGET_FRACTION - self.load).max(0.0))
     }
 
-    /// Returns whether so much more load would stay within the share to fill.
+    /// Returns whether `load` more would stay within [`TARGET_FRACTION`] of the capacity.
     pub fn can_take(&self, load: f64) -> bool {
-        self.capacity.is_none_or(|capacity| self.load + load <= capacity * FILL)
+        self.capacity.is_none_or(|capacity| self.load + load <= capacity * TARGET_FRACTION)
     }
 }
 
-/// How a bundle's demand is spread over its engines.
+/// The distribution of a bundle's demand over its engines.
 struct Spread {
     model: ItemKey,
     demand: f64,
+    /// The engines that keep the bundle's model, each with its part of the demand.
     homes: Vec<(BackendId, f64)>,
 }
 
@@ -76,21 +82,22 @@
     }
 }
 
-/// The shard as it would be after the moves so far.
+/// The state of the shard after the moves planned so far.
 pub struct Draft<'a> {
     pub input: &'a PlanInput<'a>,
     recent: &'a [RecentLoad],
-    /// Whether something found no room in this round.
+    /// Whether no room was found for some item in this round.
     pub short_of_room: bool,
-    /// The part of each model's demand that each of its engines gets.
+    /// The part of each model's demand that each of its engines gets, in concurrent requests.
     shares: HashMap<ItemKey, HashMap<BackendId, f64>>,
     pub engines: BTreeMap<BackendId, DraftEngine>,
     moves: Vec<Move>,
+    /// The number of loads among the moves.
     pub loads: usize,
 }
 
 impl<'a> Draft<'a> {
-    /// Starts from the shard as it is.
+    /// Creates a draft from the shard's current state.
     pub fn new(input: &'a PlanInput<'a>, recent: &'a [RecentLoad]) -> Self {
         let engines =
             input.engines.iter().map(|(id, state)| (id.clone(), DraftEngine::new(state))).collect();
@@ -112,8 +119,7 @@
         self.moves
     }
 
-    /// Spreads each bundle's demand over the engines that have it so that their loads are level,
-    /// as the routers do.
+    /// Balances each bundle's demand over the engines that keep it, as the routers do.
     fn spread_load(&mut self) {
         let mut spreads: Vec<Spread> = self
             .input
@@ -125,9 +131,9 @@
         for (id, share) in spreads.iter().flat_map(|spread| &spread.homes) {
             self.add_load(id, *share);
         }
-        for _ in 0..LEVEL_ROUNDS {
+        for _ in 0..BALANCE_PASSES {
             for spread in spreads.iter_mut().filter(|spread| spread.homes.len() > 1) {
-                self.level(spread.demand, &mut spread.homes);
+                self.rebalance(spread.demand, &mut spread.homes);
             }
         }
         self.shares = spreads
@@ -136,13 +142,14 @@
             .collect();
     }
 
-    /// Spreads one bundle's demand anew over its engines.
-    fn level(&mut self, demand: f64, homes: &mut [(BackendId, f64)]) {
+    /// Rebalances one bundle's demand over its engines.
+    fn rebalance(&mut self, demand: f64, homes: &mut [(BackendId, f64)]) {
         for (id, share) in homes.iter() {
             self.add_load(id, -share);
         }
         homes.sort_by(|(a, _), (b, _)| self.engines[a].load.total_cmp(&self.engines[b].load));
-        // Fill the least loaded up to the next, then both up to the one after, and so on.
+        // Raise the least loaded engine to the level of the next, then both to the level of the one
+        // after, and so on, until the demand is used up.
         let mut filled = 0.0;
         let mut count = 0;
         let mut level = 0.0;
@@ -170,7 +177,7 @@
         }
     }
 
-    /// Returns the engines that keep a bundle's model.
+    /// Returns the engines that accept loads and keep a bundle's model.
     pub fn homes(&self, bundle: &Bundle) -> Vec<BackendId> {
         self.engines
             .iter()
@@ -179,12 +186,13 @@
             .collect()
     }
 
-    /// Returns whether `items` fit on an engine now.
+    /// Returns whether `items` fit into an engine's free memory.
     pub fn fits(&self, id: &BackendId, items: &[SizedItem]) -> bool {
         self.engines.get(id).is_some_and(|engine| self.need(engine, items) <= engine.free)
     }
 
-    /// Returns the memory on each accelerator that `items` need beyond what is there.
+    /// Returns the memory that `items` need on each accelerator, without the items that the engine
+    /// already holds.
     pub fn need(&self, engine: &DraftEngine, items: &[SizedItem]) -> Mib {
         items
             .iter()
@@ -193,7 +201,7 @@
             .sum()
     }
 
-    /// Adds the loads of what an engine lacks of `items`.
+    /// Plans the loads of those of `items` that an engine does not hold yet.
     pub fn load(&mut self, id: &BackendId, items: &[SizedItem], cause: &str) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
@@ -216,36 +224,36 @@
         }
     }
 
-    /// Gives up replicas on an engine so that `items` will fit. Returns whether they will; they
-    /// are loaded once the room is proved free.
+    /// Evicts replicas from an engine so that `items` will fit. Returns whether they will; a later
+    /// round loads them once the memory is confirmed to be free.
     pub fn evict_for(&mut self, id: &BackendId, items: &[SizedItem]) -> bool {
-        let Some(given_up) = self.evictable(id, items) else {
+        let Some(evicted) = self.evictable(id, items) else {
             return false;
         };
-        for bundle in given_up {
+        for bundle in evicted {
             self.unload_bundle(id, bundle, "its room is needed");
         }
         true
     }
 
-    /// Returns the replicas on an engine without which `items` would fit, if there are such.
+    /// Returns the replicas whose eviction from an engine lets `items` fit, if there are any.
     pub fn evictable(&self, id: &BackendId, items: &[SizedItem]) -> Option<Vec<&'a Bundle>> {
         let engine = self.engines.get(id).filter(|engine| engine.takes_loads)?;
         let need = self.need(engine, items);
-        let mut room = engine.free + self.going(id);
-        let mut given_up = Vec::new();
+        let mut room = engine.free + self.unloading_size(id);
+        let mut evicted = Vec::new();
         for bundle in self.spare_bundles(id) {
             if room >= need {
                 break;
             }
             room = room + self.held_size(id, bundle);
-            given_up.push(bundle);
+            evicted.push(bundle);
         }
-        (room >= need).then_some(given_up)
+        (room >= need).then_some(evicted)
     }
 
-    /// Returns what is on its way out of an engine already.
-    pub fn going(&self, id: &BackendId) -> Mib {
+    /// Returns the memory on each accelerator of the items that an engine is unloading already.
+    pub fn unloading_size(&self, id: &BackendId) -> Mib {
         let (Some(engine), Some(state)) = (self.engines.get(id), self.input.engines.get(id)) else {
             return Mib(0);
         };
@@ -257,8 +265,8 @@
             .sum()
     }
 
-    /// Returns the bundles on an engine that others can answer for alone, the least asked for
-    /// first.
+    /// Returns the bundles on an engine that the other engines can serve without it, those with the
+    /// lowest demand first.
     pub fn spare_bundles(&self, id: &BackendId) -> Vec<&'a Bundle> {
         let mut spare: Vec<&'a Bundle> = self
             .input
@@ -271,12 +279,12 @@
         spare
     }
 
-    /// Returns whether a bundle was loaded there only lately.
+    /// Returns whether a bundle was recently loaded on an engine to make room elsewhere.
     fn is_recent(&self, id: &BackendId, bundle: &Bundle) -> bool {
         self.recent.iter().any(|load| load.engine == *id && load.item == *bundle.model())
     }
 
-    /// Returns whether the other engines with `bundle` can answer for it without this one.
+    /// Returns whether the other engines can serve `bundle` without this one.
     pub fn is_spare(&self, id: &BackendId, bundle: &Bundle) -> bool {
         let others: Vec<&DraftEngine> = self
             .engines
@@ -284,7 +292,7 @@
             .filter(|(other, engine)| *other != id && engine.takes_loads)
             .map(|(_, engine)| engine)
             .collect();
-        let all_there = bundle
+        let all_ready_elsewhere = bundle
             .items
             .iter()
             .filter(|sized| self.engines[id].held.contains_key(&sized.item))
@@ -294,7 +302,7 @@
             .filter(|engine| engine.is_ready(bundle.model()))
             .map(|engine| engine.spare())
             .sum();
-        all_there && spare >= self.share(id, bundle)
+        all_ready_elsewhere && spare >= self.share(id, bundle)
     }
 
     /// Returns the part of a bundle's demand that an engine gets.
@@ -303,7 +311,7 @@
         homes.and_then(|homes| homes.get(id)).copied().unwrap_or(0.0)
     }
 
-    /// Returns the memory on each accelerator that a bundle has on an engine.
+    /// Returns the memory on each accelerator that a bundle uses on an engine.
     pub fn held_size(&self, id: &BackendId, bundle: &Bundle) -> Mib {
         let Some(state) = self.input.engines.get(id) else {
             return Mib(0);
@@ -311,15 +319,15 @@
         bundle.items.iter().filter_map(|sized| state.ledger.size_of(&sized.item)).sum()
     }
 
-    /// Adds the unloads of a bundle.
+    /// Plans the unloads of a bundle.
     pub fn unload_bundle(&mut self, id: &BackendId, bundle: &Bundle, cause: &str) {
-        // Adapters go before the model that they stand on.
+        // Adapters are unloaded before the model that they extend.
         for sized in bundle.items.iter().rev() {
             self.unload(id, &sized.item, cause);
         }
     }
 
-    /// Adds the unload of an item that answers.
+    /// Plans the unload of an item if it is ready.
     pub fn unload(&mut self, id: &BackendId, item: &ItemKey, cause: &str) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
--- a/trackfront_core/src/placement/plan.rs
+++ b/trackfront_core/src/placement/plan.rs
@@ -1,9 +1,9 @@
-//! Decides on the next moves of a shard.
+//! The planner of a shard's next moves.
 //!
-//! A round repairs first: whatever no engine answers for, the most asked for before the rest.
-//! Then it adds a replica where engines are asked for more than they can answer, if that earns
-//! more than the moves cost. Last it unloads what left the tree. Replicas that are not needed
-//! stay until their room is, since an unload that nobody needs is a move, too.
+//! A round first repairs: it loads the items that are missing, those with the highest demand
+//! first. Then it adds a replica where engines are overloaded, if the benefit exceeds the cost of
+//! the moves. Last, it unloads items that are no longer in the tree. Unneeded replicas stay until
+//! their memory is needed, since an unload is a move, too.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -17,74 +17,75 @@
 use super::Bundle;
 use super::draft::Draft;
 
-/// The cause of a load that lets a bundle go from where its room is needed.
+/// The cause of a load that copies a bundle elsewhere, so that it can be unloaded from the engine
+/// where its memory is needed.
 pub const TO_MAKE_ROOM: &str = "to make room elsewhere";
 
-/// How long a bundle that was moved to make room is kept where it went.
-const KEEP_REPLICA: Duration = Duration::from_secs(120);
+/// How long a bundle that was moved to make room stays on its new engine.
+const MIN_REPLICA_AGE: Duration = Duration::from_secs(120);
 
-/// An engine as the planner sees it.
+/// The planner's view of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineState {
-    /// How many accelerators an item is spread over.
+    /// The number of accelerators that an item is split across.
     pub accelerators: usize,
-    /// What is counted there.
+    /// The items and the memory that are accounted to the engine.
     pub ledger: EngineLedger,
-    /// Whether the engine answers.
+    /// Whether the engine responds.
     pub usable: bool,
-    /// Whether the platform will take the engine away.
+    /// Whether the platform is going to remove the engine.
     pub leaving: bool,
-    /// How many requests it can have in progress at once within the policy's times; `None`
-    /// until that was measured.
+    /// How many concurrent requests the engine can serve within the policy's time limits; `None`
+    /// until measured.
     pub capacity: Option<f64>,
 }
 
-/// One order that the planner wants.
+/// A load or unload that the planner wants ordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
     /// The engine.
     pub engine: BackendId,
-    /// What to do.
+    /// The action.
     pub action: Action,
-    /// With what.
+    /// The item to load or unload.
     pub item: ItemKey,
     /// The memory on each accelerator.
     pub per_accelerator: Mib,
-    /// Why.
+    /// The reason, as text.
     pub cause: String,
 }
 
-/// Everything that a round of planning looks at.
+/// The input of one planning round.
 #[derive(Debug)]
 pub struct PlanInput<'a> {
     /// The engines of the shard.
     pub engines: &'a BTreeMap<BackendId, EngineState>,
-    /// What the tree wants.
+    /// The bundles that the tree contains.
     pub bundles: &'a [Bundle],
-    /// How much each item is asked for, over all boxes.
+    /// The demand for each item, summed over all boxes.
     pub demand: &'a HashMap<ItemKey, Demand>,
-    /// How many more requests a move has to meet to be worth it.
+    /// How many additional requests a move must serve to be worth its cost.
     pub move_cost: f64,
-    /// How many loads may be ordered in this round.
+    /// The maximum number of loads in this round.
     pub max_loads: usize,
-    /// The present moment.
+    /// The current time.
     pub now: Moment,
 }
 
-/// Decides on moves. Benchmarks put baselines here.
+/// Decides on moves. Benchmarks implement this trait for their baselines.
 pub trait PlanMoves: Send {
     /// Returns the next moves.
     fn plan(&mut self, input: &PlanInput<'_>) -> Vec<Move>;
 }
 
-/// The planner. It remembers what it has moved to make room, so that the move is not taken back
-/// for another's sake before it was of use.
+/// The planner. It remembers the loads that it planned to make room, so that such a load is not
+/// undone for the sake of another bundle before it was of use.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
     recent: Vec<RecentLoad>,
 }
 
-/// A load that was planned lately to make room elsewhere.
+/// A recently planned load whose purpose was to make room elsewhere.
 #[derive(Clone, Debug)]
 pub struct RecentLoad {
     /// The engine.
@@ -97,7 +98,7 @@
 
 impl PlanMoves for Planner {
     fn plan(&mut self, input: &PlanInput<'_>) -> Vec<Move> {
-        self.recent.retain(|load| input.now.since(load.at) < KEEP_REPLICA);
+        self.recent.retain(|load| input.now.since(load.at) < MIN_REPLICA_AGE);
         let mut draft = Draft::new(input, &self.recent);
         draft.repair();
         draft.replicate();
--- a/trackfront_core/src/placement/plan/tests.rs
+++ b/trackfront_core/src/placement/plan/tests.rs
@@ -26,7 +26,7 @@
         .collect()
 }
 
-/// Plans rounds and carries them out at once until there are no more moves.
+/// Plans rounds and executes their moves immediately until no moves are left. Returns all moves.
 fn settle(
     engines: &mut BTreeMap<BackendId, EngineState>,
     bundles: &[Bundle],
@@ -57,7 +57,7 @@
     panic!("the moves do not come to an end: {all:?}");
 }
 
-fn six() -> Vec<Bundle> {
+fn six_bundles() -> Vec<Bundle> {
     (0..6).map(|index| bundle(&format!("m{index}"), "1", 50)).collect()
 }
 
@@ -66,38 +66,38 @@
 }
 
 #[test]
-fn a_steady_shard_has_no_moves() {
+fn steady_shard_has_no_moves() {
     let mut engines = engines(3, 100);
-    assert_eq!(settle(&mut engines, &six(), &HashMap::new()).len(), 12);
-    assert_eq!(settle(&mut engines, &six(), &demand("m1", 5.0)), vec![]);
+    assert_eq!(settle(&mut engines, &six_bundles(), &HashMap::new()).len(), 12);
+    assert_eq!(settle(&mut engines, &six_bundles(), &demand("m1", 5.0)), vec![]);
 }
 
 #[test]
-fn a_lost_engine_moves_only_what_was_lost() {
+fn engine_loss_reloads_only_lost_items() {
     let mut engines = engines(4, 100);
-    let first = settle(&mut engines, &six(), &HashMap::new());
+    let first = settle(&mut engines, &six_bundles(), &HashMap::new());
     let lost = first[0].engine.clone();
     engines.get_mut(&lost).expect("known").usable = false;
-    let again = settle(&mut engines, &six(), &HashMap::new());
+    let again = settle(&mut engines, &six_bundles(), &HashMap::new());
     let lost_items = first.iter().filter(|planned| planned.engine == lost).count();
     assert_eq!(again.len(), lost_items);
 }
 
 #[test]
-fn the_hot_get_replicas_until_their_engines_can_answer() {
+fn overloaded_model_gets_replicas_until_capacity_suffices() {
     let mut engines = engines(4, 100);
-    settle(&mut engines, &six(), &HashMap::new());
+    settle(&mut engines, &six_bundles(), &HashMap::new());
     let hot = demand("m1", 18.0);
-    let moves = settle(&mut engines, &six(), &hot);
+    let moves = settle(&mut engines, &six_bundles(), &hot);
     assert!(!moves.is_empty() && moves.iter().all(|planned| planned.item.is_model()));
-    assert_eq!(settle(&mut engines, &six(), &hot), vec![], "no move is taken back");
-    assert_eq!(settle(&mut engines, &six(), &HashMap::new()), vec![], "nor after a lull");
+    assert_eq!(settle(&mut engines, &six_bundles(), &hot), vec![], "no move is taken back");
+    assert_eq!(settle(&mut engines, &six_bundles(), &HashMap::new()), vec![], "nor after a lull");
 }
 
 #[test]
-fn a_replica_gives_way_to_what_is_on_no_engine() {
+fn replica_is_evicted_for_missing_bundle() {
     let mut engines = engines(2, 70);
-    let mut bundles: Vec<Bundle> = six().into_iter().take(3).collect();
+    let mut bundles: Vec<Bundle> = six_bundles().into_iter().take(3).collect();
     settle(&mut engines, &bundles, &HashMap::new());
     settle(&mut engines, &bundles, &demand("m0", 18.0));
     bundles.push(bundle("m9", "1", 50));
@@ -108,23 +108,23 @@
 }
 
 #[test]
-fn a_new_version_answers_before_the_old_one_goes() {
+fn new_version_loads_before_old_one_unloads() {
     let mut engines = engines(3, 100);
-    settle(&mut engines, &six(), &HashMap::new());
-    let mut bundles = six();
+    settle(&mut engines, &six_bundles(), &HashMap::new());
+    let mut bundles = six_bundles();
     bundles[0] = bundle("m0", "2", 50);
     let moves = settle(&mut engines, &bundles, &HashMap::new());
-    let place = |action: Action| moves.iter().position(|planned| planned.action == action);
-    assert!(place(Action::Load) < place(Action::Unload), "{moves:?}");
+    let position = |action: Action| moves.iter().position(|planned| planned.action == action);
+    assert!(position(Action::Load) < position(Action::Unload), "{moves:?}");
     assert_eq!(moves.len(), 4);
 }
 
 #[test]
-fn a_leaving_engine_is_emptied_by_loads_elsewhere() {
+fn items_of_leaving_engine_are_loaded_elsewhere() {
     let mut engines = engines(4, 100);
-    let first = settle(&mut engines, &six(), &HashMap::new());
+    let first = settle(&mut engines, &six_bundles(), &HashMap::new());
     let leaving = first[0].engine.clone();
     engines.get_mut(&leaving).expect("known").leaving = true;
-    let moves = settle(&mut engines, &six(), &HashMap::new());
+    let moves = settle(&mut engines, &six_bundles(), &HashMap::new());
     assert!(moves.iter().all(|m| m.action == Action::Load && m.engine != leaving));
 }
--- a/trackfront_core/src/placement/repair.rs
+++ b/trackfront_core/src/placement/repair.rs
@@ -1,4 +1,4 @@
-//! Loads what no engine answers for.
+//! Loads the items of the tree that no engine keeps.
 
 use std::cmp::Reverse;
 
@@ -9,18 +9,21 @@
 use super::plan::TO_MAKE_ROOM;
 use super::{Bundle, SizedItem};
 
-/// A bundle of which something is missing.
+/// A bundle with missing items.
 struct Missing<'a> {
     bundle: &'a Bundle,
+    /// The missing items.
     items: Vec<SizedItem>,
-    /// The engine that has the rest of the bundle.
+    /// The engine that has the bundle's model, if any.
     home: Option<BackendId>,
+    /// Whether one of the missing items is ready on no usable engine.
     unreachable: bool,
+    /// The request rate of the whole bundle.
     demand: f64,
 }
 
 impl<'a> Draft<'a> {
-    /// Loads what no engine that stays has.
+    /// Loads the missing items: those that are kept by no engine that accepts loads.
     pub fn repair(&mut self) {
         let mut missing: Vec<Missing<'a>> =
             self.input.bundles.iter().filter_map(|bundle| self.missing(bundle)).collect();
@@ -54,7 +57,7 @@
         Some(Missing { bundle, items, home, unreachable, demand: self.demand(bundle).rate })
     }
 
-    /// Returns the engine that has `item` and the most room for what goes with it.
+    /// Returns, of the engines that keep `item`, the one with the most free memory.
     pub fn home(&self, item: &ItemKey) -> Option<BackendId> {
         self.engines
             .iter()
@@ -75,15 +78,16 @@
             }
         }
         let whole = &part.bundle.items;
-        match self.tightest(part.bundle) {
+        match self.best_fit(part.bundle) {
             Some(engine) => self.load(&engine, whole, cause),
             None => self.make_room(whole),
         }
     }
 
-    /// Returns the engine with the least room that fits a bundle, of those that can answer for
-    /// it if there are any. Room that is left in one piece can take replicas of the hot later.
-    fn tightest(&self, bundle: &Bundle) -> Option<BackendId> {
+    /// Returns the engine with the least free memory that fits a bundle, preferably one with enough
+    /// capacity for the bundle's demand. Best fit leaves large free blocks of memory on the
+    /// other engines, for later replicas of bundles with high demand.
+    fn best_fit(&self, bundle: &Bundle) -> Option<BackendId> {
         let load = self.demand(bundle).concurrency;
         self.engines
             .iter()
@@ -92,7 +96,7 @@
             .map(|(id, _)| id.clone())
     }
 
-    /// Makes room where that costs least: by giving up replicas, or else by moving a bundle.
+    /// Makes room at the lowest cost: by evicting replicas, or else by moving a bundle.
     fn make_room(&mut self, items: &[SizedItem]) {
         let ids: Vec<BackendId> = self.engines.keys().cloned().collect();
         if ids.iter().any(|id| self.evict_for(id, items)) {
@@ -105,19 +109,19 @@
             }
         }
         self.short_of_room = true;
-        log::warn!("there is no room for {} now; it is tried again", items[0].item);
+        log::warn!("no engine has room for {} now; the next planning round retries", items[0].item);
     }
 
-    /// Finds a bundle on an engine that fits elsewhere and leaves enough room behind.
+    /// Finds a bundle on an engine that fits on another one and frees enough memory for `items`.
     pub fn movable(&self, id: &BackendId, items: &[SizedItem]) -> Option<(&'a Bundle, BackendId)> {
         let engine = self.engines.get(id).filter(|engine| engine.takes_loads)?;
-        let lacking = self.need(engine, items).saturating_sub(engine.free);
+        let shortfall = self.need(engine, items).saturating_sub(engine.free);
         let mut candidates: Vec<&'a Bundle> = self
             .input
             .bundles
             .iter()
             .filter(|bundle| engine.is_ready(bundle.model()))
-            .filter(|bundle| self.held_size(id, bundle) >= lacking)
+            .filter(|bundle| self.held_size(id, bundle) >= shortfall)
             .collect();
         candidates.sort_by_key(|bundle| self.held_size(id, bundle));
         candidates.into_iter().find_map(|bundle| {
--- a/trackfront_core/src/placement/tests.rs
+++ b/trackfront_core/src/placement/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn packing_fails_with_the_bundle_that_finds_no_place() {
+fn pack_error_names_bundle_that_does_not_fit() {
     let rooms = [Room { engine: "e".into(), accelerators: 1, free: Mib(50) }];
     let error = pack(&rooms, &[bundle("a", 30), bundle("b", 30)]);
     assert_eq!(error.expect_err("too large").item.model.as_str(), "b");
