--- a/trackfront_core/src/quota/share.rs
+++ b/trackfront_core/src/quota/share.rs
@@ -1,12 +1,12 @@
-//! The asking side: to whom a box lends its right of one partition, and what it was granted.
+//! The requesting side: the coordinator that a box lends its quota of one partition to, and the units granted to it.
 //!
-//! A box that leaves a keeper which does not answer lends its right to the next at once, though the first may
-//! count it for a second more ([`LOAN_DURATION`](super::pool::LOAN_DURATION)). Waiting that second out was tried:
-//! where links come and go each 0.4 to 3 s it takes the largest window from 0.89 to 0.84 of its bound, and
-//! refuses up to 14 in 100 of what may pass (`tests/quota`, two and three parts of 30 boxes).
+//! A box that gives up an unresponsive coordinator lends its quota to the next at once, although the old one may count
+//! the loan for another second ([`LOAN_DURATION`](super::pool::LOAN_DURATION)). Waiting for that second was tried: with
+//! links that flap every 0.4 to 3 s it lowers the largest window from 0.89 to 0.84 of its bound, but refuses up to 14%
+//! of the requests that could pass (`tests/quota`, 30 boxes split into two and three parts).
 //!
-//! Nothing here sends or waits: [`QuotaShare::poll`] says what is to be sent, [`QuotaShare::take`] whether a request
-//! may pass, and both and [`QuotaShare::apply_reply`] whose waits are over.
+//! Nothing here does I/O or blocks. [`QuotaShare::poll`] returns the requests to send, and [`QuotaShare::take`] whether
+//! a request may pass. `poll` and [`QuotaShare::apply_reply`] return the waits that ended.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -15,139 +15,141 @@
 
 use super::{AccountId, BoxId, Grant, QuotaReply, QuotaRequest, UnitRequest};
 
-/// How long granted units may be used. What is used in a window was granted in one longer by this.
+/// How long granted units may be used. The units used in a window were granted in a window longer by this.
 pub const GRANT_LIFETIME: Duration = Duration::from_millis(300);
 
-/// How often a box asks its keeper, also if it wants nothing: three times within what its right counts.
+/// The interval of requests to the coordinator, also when no units are needed. Three requests fit in
+/// [`LOAN_DURATION`](super::pool::LOAN_DURATION).
 pub const REQUEST_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long an answer is waited for until the question is sent again. A box whose share of a processor is
-/// spent stands still for up to a tenth of a second.
-const ANSWER_TIME: Duration = Duration::from_millis(120);
+/// The time without a reply after which a request is sent again. A box that has used up its CPU quota is paused for up
+/// to 100 ms.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// How many times a question is sent until its keeper is taken for gone.
-const SENDS: u32 = 3;
+/// How many times a request is sent before its coordinator is considered unresponsive.
+const SEND_ATTEMPTS: u32 = 3;
 
-/// How many boxes are asked at once who might keep the partition in place of one that is gone.
-const PROBED: usize = 4;
+/// The maximum number of candidates that one probe asks.
+const MAX_PROBED_BOXES: usize = 4;
 
-/// How often boxes that should rather keep the partition are asked whether they are back.
-const MOVE_UP_EVERY: Duration = Duration::from_millis(2_000);
+/// The interval of probes to boxes that rank before the coordinator.
+const PREFERRED_PROBE_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// How long a keeper that was gone is not asked again; twice as long each time.
-const GONE_FOR: Duration = Duration::from_millis(3_000);
+/// The first backoff of an unresponsive coordinator, doubled each time that it fails again.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(3_000);
 
-/// How many times that is doubled at most.
-const MOST_DOUBLINGS: u32 = 4;
+/// The maximum number of times that the backoff is doubled.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// How long it is remembered how often a keeper was gone.
-const GONE_REMEMBERED: Duration = Duration::from_secs(10);
+/// How long the failures of a box are remembered after its backoff.
+const FAILURE_MEMORY: Duration = Duration::from_secs(10);
 
-/// When to come back while no box answers for the account.
-const UNKNOWN_WAIT: Duration = Duration::from_millis(400);
+/// The retry delay while no box is known that could coordinate the account.
+const UNKNOWN_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// How many requests of one account a question carries; the others wait for the next.
-const NEEDS_AT_ONCE: usize = 64;
+/// The maximum number of waiting requests of one account in a quota request. The rest are sent in the next one.
+const MAX_WAITING_PER_REQUEST: usize = 64;
 
-/// How fast the demand that was seen is forgotten: it halves in this time.
+/// The half-life of the moving average of demand.
 const DEMAND_HALF_LIFE: Duration = Duration::from_millis(1_000);
 
-/// How many requests have to be likely within the life of a grant for units to be asked for ahead.
-const AHEAD_REQUESTS: f64 = 2.0;
+/// The minimum number of requests expected within [`GRANT_LIFETIME`] for units to be requested in advance.
+const PREFETCH_MIN_REQUESTS: f64 = 2.0;
 
-/// A request that waits for units.
+/// The ID of a request that waits for units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Waiter(pub u64);
 
-/// What came of a request's wait.
+/// The outcome of a request's wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It may pass.
+    /// The request may pass.
     Granted,
-    /// The account has used up its limit; a try would pass after this time.
+    /// The account has used up its limit. A retry is expected to pass after this time.
     Reached(Duration),
-    /// No box answers for the account; come back after this time.
+    /// No coordinator is known for the account. The client should retry after this time.
     Unknown(Duration),
 }
 
-/// A question to be sent.
+/// A quota request to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingRequest {
-    /// The box that it is for, perhaps the own one.
+    /// The receiver, possibly this box itself.
     pub to: BoxId,
-    /// The question.
+    /// The request.
     pub request: QuotaRequest,
 }
 
-/// What is to be done now.
+/// The actions that a poll calls for.
 #[derive(Debug, Default)]
 pub struct Step {
-    /// Questions to be sent.
+    /// Requests to send.
     pub sends: Vec<OutgoingRequest>,
-    /// Waits that are over.
+    /// Waits that ended.
     pub over: Vec<(Waiter, Outcome)>,
 }
 
-/// The right of one box in one partition.
+/// One box's quota of the limits in one partition.
 #[derive(Debug)]
 pub struct QuotaShare {
     me: BoxId,
     partition: u8,
-    numbers: u32,
-    /// The box that the right is lent to.
-    keeper: Option<BoxId>,
-    /// When it was last asked.
-    asked_at: Option<Moment>,
-    open: Option<Open>,
+    last_number: u32,
+    /// The box that the quota is lent to.
+    coordinator: Option<BoxId>,
+    /// When the last request was sent to the coordinator.
+    requested_at: Option<Moment>,
+    pending: Option<Pending>,
     probe: Option<Probe>,
     probed_at: Moment,
-    gone: HashMap<BoxId, Gone>,
+    backoffs: HashMap<BoxId, Backoff>,
     accounts: HashMap<AccountId, Account>,
 }
 
-/// A question without an answer yet.
+/// A request without a reply yet.
 #[derive(Debug)]
-struct Open {
+struct Pending {
     send: OutgoingRequest,
     sent_at: Moment,
     sends: u32,
-    /// The box to lend to after a farewell.
-    then: Option<BoxId>,
+    /// The next coordinator, if this request revokes a loan.
+    next_coordinator: Option<BoxId>,
 }
 
-/// Questions to boxes that might be the keeper.
+/// A check of which candidates for coordinator respond.
 #[derive(Debug)]
 struct Probe {
     number: u32,
     until: Moment,
-    /// In their order, each with whether it answered.
+    /// The candidates in ranking order, each with whether it replied.
     boxes: Vec<(BoxId, bool)>,
 }
 
+/// The backoff of a box that did not reply.
 #[derive(Debug)]
-struct Gone {
+struct Backoff {
     until: Moment,
-    times: u32,
+    failures: u32,
 }
 
 #[derive(Debug, Default)]
 struct Account {
     granted: VecDeque<(f64, Moment)>,
-    /// Those that wait, with their units. One that is in the open question and waits no longer keeps its
-    /// place without a name: the answer counts places.
+    /// Waiting requests with their units, in order. A request that is cancelled while a reply for it is pending keeps its
+    /// entry, without a waiter, since the reply refers to requests by position.
     waiting: VecDeque<(Option<Waiter>, u32)>,
-    /// How many of those that wait are in the open question.
-    asked: usize,
+    /// How many of the waiting requests are in the pending quota request.
+    requested: usize,
     back: f64,
     demand: Demand,
 }
 
-/// Units a second that requests asked for, and requests a second.
+/// Moving averages of the units and of the requests per second.
 #[derive(Debug, Default)]
 struct Demand {
     units: f64,
     requests: f64,
-    at: Moment,
+    updated_at: Moment,
 }
 
 impl Demand {
@@ -159,16 +161,16 @@
     }
 
     fn decay(&mut self, now: Moment) {
-        let halves = now.since(self.at).as_secs_f64() / DEMAND_HALF_LIFE.as_secs_f64();
-        let left = 0.5f64.powf(halves);
+        let half_lives = now.since(self.updated_at).as_secs_f64() / DEMAND_HALF_LIFE.as_secs_f64();
+        let left = 0.5f64.powf(half_lives);
         self.units *= left;
         self.requests *= left;
-        self.at = now;
+        self.updated_at = now;
     }
 }
 
 impl Account {
-    fn forget_old(&mut self, now: Moment) {
+    fn drop_expired_grants(&mut self, now: Moment) {
         while self.granted.front().is_some_and(|(_, until)| *until <= now) {
             self.granted.pop_front();
         }
@@ -178,9 +180,9 @@
         self.granted.iter().map(|(units, _)| units).sum()
     }
 
-    /// Takes units that were granted, the oldest first.
+    /// Uses granted units, the oldest first. Returns `false` and uses none if there are too few.
     fn take(&mut self, units: f64, now: Moment) -> bool {
-        self.forget_old(now);
+        self.drop_expired_grants(now);
         if self.level() < units {
             return false;
         }
@@ -199,46 +201,46 @@
         true
     }
 
-    /// Returns the units to ask for ahead of need.
-    fn ahead(&mut self, now: Moment) -> u32 {
+    /// Returns the units to request in advance.
+    fn prefetch_units(&mut self, now: Moment) -> u32 {
         self.demand.decay(now);
-        let life = GRANT_LIFETIME.as_secs_f64();
-        if self.demand.requests * life < AHEAD_REQUESTS {
+        let lifetime_s = GRANT_LIFETIME.as_secs_f64();
+        if self.demand.requests * lifetime_s < PREFETCH_MIN_REQUESTS {
             return 0;
         }
-        (self.demand.units * life - self.level()).max(0.0) as u32
+        (self.demand.units * lifetime_s - self.level()).max(0.0) as u32
     }
 
-    /// Ends every wait.
+    /// Ends all waits with the given outcome.
     fn end_all(&mut self, outcome: Outcome) -> impl Iterator<Item = (Waiter, Outcome)> + '_ {
-        self.asked = 0;
+        self.requested = 0;
         self.waiting.drain(..).filter_map(move |(waiter, _)| Some((waiter?, outcome)))
     }
 }
 
 impl QuotaShare {
-    /// Makes the share of a box that has asked nobody yet. Numbers of questions begin at `number`, which
-    /// should differ from one start of a box to the next.
+    /// Creates the quota share of a box without a coordinator. Request numbers continue from `number`, which should
+    /// differ between restarts of a box.
     pub fn new(me: BoxId, partition: usize, number: u32) -> Self {
         Self {
             me,
             partition: partition as u8,
-            numbers: number,
-            keeper: None,
-            asked_at: None,
-            open: None,
+            last_number: number,
+            coordinator: None,
+            requested_at: None,
+            pending: None,
             probe: None,
             probed_at: Moment::default(),
-            gone: HashMap::new(),
+            backoffs: HashMap::new(),
             accounts: HashMap::new(),
         }
     }
 
-    /// Takes `units` for a request. Returns whether it may pass now; else it waits, as `waiter`.
+    /// Takes `units` for a request. Returns `true` if it may pass now; otherwise it is queued as `waiter`.
     pub fn take(&mut self, account: AccountId, units: u32, waiter: Waiter, now: Moment) -> bool {
         let account = self.accounts.entry(account).or_default();
         account.demand.count(f64::from(units), now);
-        // Those that wait go first.
+        // Requests that already wait have precedence.
         if account.waiting.is_empty() && account.take(f64::from(units), now) {
             return true;
         }
@@ -246,98 +248,101 @@
         false
     }
 
-    /// Gives units back of a request that did not run.
+    /// Returns the units of a request that did not run.
     pub fn give_back(&mut self, account: AccountId, units: u32) {
         self.accounts.entry(account).or_default().back += f64::from(units);
     }
 
-    /// Forgets a request that no longer waits. What comes for it is granted to others.
+    /// Cancels the wait of a request. Units still granted for it are returned.
     pub fn forget(&mut self, waiter: Waiter) {
         for account in self.accounts.values_mut() {
-            let place = account.waiting.iter().position(|(other, _)| *other == Some(waiter));
-            match place {
-                Some(place) if place < account.asked => account.waiting[place].0 = None,
-                Some(place) => drop(account.waiting.remove(place)),
+            let index = account.waiting.iter().position(|(other, _)| *other == Some(waiter));
+            match index {
+                Some(index) if index < account.requested => account.waiting[index].0 = None,
+                Some(index) => drop(account.waiting.remove(index)),
                 None => {}
             }
         }
     }
 
-    /// Returns the box that the right is lent to.
+    /// Returns the box that the quota is lent to.
     pub fn coordinator(&self) -> Option<BoxId> {
-        self.keeper
+        self.coordinator
     }
 
-    /// Returns what is to be done at `now`. `ranking` has the boxes that may be up, this one among them,
-    /// in the order in which they should keep the partition; it is empty while they are not known.
+    /// Returns the actions due at `now`. `ranking` lists the boxes that may be up, normally including this one, in order
+    /// of preference as coordinator; it is empty while they are unknown.
     pub fn poll(&mut self, ranking: &[BoxId], now: Moment) -> Step {
         let mut step = Step::default();
         if ranking.is_empty() {
-            self.end_waits(Outcome::Unknown(UNKNOWN_WAIT), &mut step);
+            self.end_waits(Outcome::Unknown(UNKNOWN_RETRY_DELAY), &mut step);
             return step;
         }
-        self.gone.retain(|_, gone| gone.until + GONE_REMEMBERED > now);
-        self.resend_or_leave(ranking, now, &mut step);
+        self.backoffs.retain(|_, backoff| backoff.until + FAILURE_MEMORY > now);
+        self.resend_or_fail_over(ranking, now, &mut step);
         self.end_probe(ranking, now, &mut step);
-        if self.open.is_some() || self.probe.is_some() {
+        if self.pending.is_some() || self.probe.is_some() {
             return step;
         }
-        let keeper =
-            *self.keeper.get_or_insert_with(|| first_up(&self.gone, ranking, self.me, now));
-        if self.may_move_up(keeper, ranking, now) {
-            self.move_up(keeper, ranking, now, &mut step);
-            if self.open.is_some() {
+        let coordinator = *self
+            .coordinator
+            .get_or_insert_with(|| first_available(&self.backoffs, ranking, self.me, now));
+        if self.is_preferred_probe_due(coordinator, ranking, now) {
+            self.probe_preferred(coordinator, ranking, now, &mut step);
+            if self.pending.is_some() {
                 return step;
             }
         }
         let is_wanted = self.accounts.values().any(|account| !account.waiting.is_empty());
-        let is_due = self.asked_at.is_none_or(|at| now.since(at) >= REQUEST_INTERVAL);
+        let is_due = self.requested_at.is_none_or(|at| now.since(at) >= REQUEST_INTERVAL);
         if is_wanted || is_due {
-            self.ask(keeper, now, &mut step);
+            self.request_units(coordinator, now, &mut step);
         }
         step
     }
 
-    /// Takes in an answer. Returns the waits that are over.
+    /// Applies a reply. Returns the waits that ended.
     pub fn apply_reply(
         &mut self,
         from: BoxId,
-        answer: &QuotaReply,
+        reply: &QuotaReply,
         now: Moment,
     ) -> Vec<(Waiter, Outcome)> {
-        if let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == answer.number) {
+        if let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == reply.number) {
             probe.boxes.iter_mut().filter(|(id, _)| *id == from).for_each(|(_, up)| *up = true);
             return Vec::new();
         }
-        let is_answer =
-            |open: &Open| open.send.to == from && open.send.request.number == answer.number;
-        let Some(open) = self.open.take_if(|open| is_answer(open)) else {
+        let is_reply = |pending: &Pending| {
+            pending.send.to == from && pending.send.request.number == reply.number
+        };
+        let Some(pending) = self.pending.take_if(|pending| is_reply(pending)) else {
             return Vec::new();
         };
-        self.gone.remove(&from);
-        if let Some(then) = open.then {
-            self.keeper = Some(then);
-            self.asked_at = None;
+        self.backoffs.remove(&from);
+        if let Some(next_coordinator) = pending.next_coordinator {
+            self.coordinator = Some(next_coordinator);
+            self.requested_at = None;
             return Vec::new();
         }
         let mut over = Vec::new();
-        let until = open.sent_at + GRANT_LIFETIME;
-        for (want, grant) in open.send.request.unit_requests.iter().zip(&answer.grants) {
+        let until = pending.sent_at + GRANT_LIFETIME;
+        for (want, grant) in pending.send.request.unit_requests.iter().zip(&reply.grants) {
             let account = self.accounts.entry(want.account).or_default();
-            account.settle(grant, until, now, &mut over);
+            account.apply_grant(grant, until, now, &mut over);
         }
         over
     }
 
-    /// Asks the keeper for what is wanted.
-    fn ask(&mut self, keeper: BoxId, now: Moment, step: &mut Step) {
+    /// Sends the coordinator a request that renews the loan and asks for the needed units.
+    fn request_units(&mut self, coordinator: BoxId, now: Moment, step: &mut Step) {
         let mut unit_requests = Vec::new();
         for (id, account) in &mut self.accounts {
-            account.forget_old(now);
-            let waiting_units = account.waiting.iter().take(NEEDS_AT_ONCE);
+            account.drop_expired_grants(now);
+            let waiting_units = account.waiting.iter().take(MAX_WAITING_PER_REQUEST);
             let waiting_units: Vec<u32> = waiting_units.map(|(_, units)| *units).collect();
-            account.asked = waiting_units.len();
-            let (prefetch_units, returned_units) = (account.ahead(now), account.back as u32);
+            account.requested = waiting_units.len();
+            let (prefetch_units, returned_units) =
+                (account.prefetch_units(now), account.back as u32);
             account.back = 0.0;
             if !waiting_units.is_empty() || prefetch_units > 0 || returned_units > 0 {
                 unit_requests.push(UnitRequest {
@@ -349,81 +354,104 @@
             }
         }
         let request = QuotaRequest {
-            number: self.number(),
+            number: self.next_number(),
             partition: self.partition,
             lends: true,
             unit_requests,
         };
-        self.asked_at = Some(now);
-        self.send(OutgoingRequest { to: keeper, request }, None, now, step);
+        self.requested_at = Some(now);
+        self.send(OutgoingRequest { to: coordinator, request }, None, now, step);
     }
 
-    fn send(&mut self, send: OutgoingRequest, then: Option<BoxId>, now: Moment, step: &mut Step) {
+    fn send(
+        &mut self,
+        send: OutgoingRequest,
+        next_coordinator: Option<BoxId>,
+        now: Moment,
+        step: &mut Step,
+    ) {
         step.sends.push(send.clone());
-        self.open = Some(Open { send, sent_at: now, sends: 1, then });
+        self.pending = Some(Pending { send, sent_at: now, sends: 1, next_coordinator });
     }
 
-    fn number(&mut self) -> u32 {
-        self.numbers = self.numbers.wrapping_add(1);
-        self.numbers
+    fn next_number(&mut self) -> u32 {
+        self.last_number = self.last_number.wrapping_add(1);
+        self.last_number
     }
 
-    /// Sends an open question again, or leaves its keeper.
-    fn resend_or_leave(&mut self, ranking: &[BoxId], now: Moment, step: &mut Step) {
-        let Some(open) = self.open.as_mut() else {
+    /// Resends the pending request after a timeout, or gives up its coordinator after the last attempt.
+    fn resend_or_fail_over(&mut self, ranking: &[BoxId], now: Moment, step: &mut Step) {
+        let Some(pending) = self.pending.as_mut() else {
             return;
         };
-        if now.since(open.sent_at) < ANSWER_TIME * open.sends {
+        if now.since(pending.sent_at) < REPLY_TIMEOUT * pending.sends {
             return;
         }
-        if open.sends < SENDS {
-            open.sends += 1;
-            if open.send.request.lends {
-                self.asked_at = Some(now);
+        if pending.sends < SEND_ATTEMPTS {
+            pending.sends += 1;
+            if pending.send.request.lends {
+                self.requested_at = Some(now);
             }
-            step.sends.push(open.send.clone());
+            step.sends.push(pending.send.clone());
             return;
         }
-        let keeper = open.send.to;
-        let times = self.gone.get(&keeper).map_or(0, |gone| gone.times).min(MOST_DOUBLINGS);
-        let until = now + GONE_FOR * 2u32.pow(times);
-        self.gone.insert(keeper, Gone { until, times: times + 1 });
-        self.open = None;
-        self.keeper = None;
-        self.asked_at = None;
-        self.start_probe(candidates(&self.gone, ranking, self.me, None, now), now, step);
+        let coordinator = pending.send.to;
+        let failures = self
+            .backoffs
+            .get(&coordinator)
+            .map_or(0, |backoff| backoff.failures)
+            .min(MAX_BACKOFF_DOUBLINGS);
+        let until = now + INITIAL_BACKOFF * 2u32.pow(failures);
+        self.backoffs.insert(coordinator, Backoff { until, failures: failures + 1 });
+        self.pending = None;
+        self.coordinator = None;
+        self.requested_at = None;
+        self.start_probe(candidates(&self.backoffs, ranking, self.me, None, now), now, step);
     }
 
-    /// Returns whether boxes before the keeper are to be asked whether they are up.
-    fn may_move_up(&self, keeper: BoxId, ranking: &[BoxId], now: Moment) -> bool {
-        ranking.first() != Some(&keeper) && now.since(self.probed_at) >= MOVE_UP_EVERY
+    /// Returns whether a probe of the boxes that rank before the coordinator is due.
+    fn is_preferred_probe_due(&self, coordinator: BoxId, ranking: &[BoxId], now: Moment) -> bool {
+        ranking.first() != Some(&coordinator)
+            && now.since(self.probed_at) >= PREFERRED_PROBE_INTERVAL
     }
 
-    /// Asks the boxes before the keeper whether they are up. Where there are none, but this box itself comes before
-    /// it, since it did not keep limits until now, its right goes home at once.
-    fn move_up(&mut self, keeper: BoxId, ranking: &[BoxId], now: Moment, step: &mut Step) {
-        let before = candidates(&self.gone, ranking, self.me, Some(keeper), now);
+    /// Probes the boxes that rank before the coordinator. If there are none but this box itself ranks before it, because
+    /// it could not coordinate limits until now, it revokes its loan at once.
+    fn probe_preferred(
+        &mut self,
+        coordinator: BoxId,
+        ranking: &[BoxId],
+        now: Moment,
+        step: &mut Step,
+    ) {
+        let before = candidates(&self.backoffs, ranking, self.me, Some(coordinator), now);
         if !before.is_empty() {
             self.start_probe(before, now, step);
             return;
         }
-        if is_before(ranking, self.me, keeper) {
+        if is_before(ranking, self.me, coordinator) {
             self.probed_at = now;
-            self.say_farewell(keeper, self.me, now, step);
+            self.revoke_loan(coordinator, self.me, now, step);
         }
     }
 
-    /// Takes the right back from a keeper, to lend it to the box `then`. A farewell goes through the same order of
-    /// questions as the rest.
-    fn say_farewell(&mut self, keeper: BoxId, then: BoxId, now: Moment, step: &mut Step) {
-        let number = self.number();
+    /// Revokes the loan to a coordinator, to lend the quota to `next_coordinator` instead. Like other requests it is sent
+    /// only while none is pending, and is resent until a reply arrives.
+    fn revoke_loan(
+        &mut self,
+        coordinator: BoxId,
+        next_coordinator: BoxId,
+        now: Moment,
+        step: &mut Step,
+    ) {
+        let number = self.next_number();
         let request = QuotaRequest {
             number,
             partition: self.partition,
             lends: false,
             unit_requests: Vec::new(),
         };
-        self.send(OutgoingRequest { to: keeper, request }, Some(then), now, step);
+        self.send(OutgoingRequest { to: coordinator, request }, Some(next_coordinator), now, step);
     }
 
     fn start_probe(&mut self, boxes: Vec<BoxId>, now: Moment, step: &mut Step) {
@@ -431,7 +459,7 @@
         if boxes.is_empty() {
             return;
         }
-        let number = self.number();
+        let number = self.next_number();
         let request = QuotaRequest {
             number,
             partition: self.partition,
@@ -441,10 +469,10 @@
         step.sends
             .extend(boxes.iter().map(|to| OutgoingRequest { to: *to, request: request.clone() }));
         let boxes = boxes.into_iter().map(|id| (id, false)).collect();
-        self.probe = Some(Probe { number, until: now + ANSWER_TIME, boxes });
+        self.probe = Some(Probe { number, until: now + REPLY_TIMEOUT, boxes });
     }
 
-    /// Lends the right to the first box that answered a probe.
+    /// Ends a probe and switches to the highest-ranked box that replied.
     fn end_probe(&mut self, ranking: &[BoxId], now: Moment, step: &mut Step) {
         let is_over =
             |probe: &Probe| now >= probe.until || probe.boxes.first().is_some_and(|(_, up)| *up);
@@ -452,12 +480,12 @@
             return;
         };
         let up = probe.boxes.iter().find(|(_, up)| *up).map(|(id, _)| *id);
-        match (self.keeper, up) {
-            (None, up) => self.keeper = Some(up.unwrap_or(self.me)),
-            (Some(keeper), up) => {
-                let then = up.unwrap_or(self.me);
-                if self.open.is_none() && is_before(ranking, then, keeper) {
-                    self.say_farewell(keeper, then, now, step);
+        match (self.coordinator, up) {
+            (None, up) => self.coordinator = Some(up.unwrap_or(self.me)),
+            (Some(coordinator), up) => {
+                let next_coordinator = up.unwrap_or(self.me);
+                if self.pending.is_none() && is_before(ranking, next_coordinator, coordinator) {
+                    self.revoke_loan(coordinator, next_coordinator, now, step);
                 }
             }
         }
@@ -471,16 +499,16 @@
 }
 
 impl Account {
-    /// Takes in a grant for those that were asked for.
-    fn settle(
+    /// Applies a grant to the requests that it was requested for.
+    fn apply_grant(
         &mut self,
         grant: &Grant,
         until: Moment,
         now: Moment,
         over: &mut Vec<(Waiter, Outcome)>,
     ) {
-        let asked = std::mem::take(&mut self.asked);
-        let granted = (grant.requests as usize).min(asked);
+        let requested = std::mem::take(&mut self.requested);
+        let granted = (grant.requests as usize).min(requested);
         for (waiter, units) in self.waiting.drain(..granted) {
             match waiter {
                 Some(waiter) => over.push((waiter, Outcome::Granted)),
@@ -488,13 +516,13 @@
             }
         }
         let wait = Duration::from_millis(u64::from(grant.wait_ms.max(1)));
-        for (waiter, _) in self.waiting.drain(..asked - granted) {
+        for (waiter, _) in self.waiting.drain(..requested - granted) {
             over.extend(waiter.map(|waiter| (waiter, Outcome::Reached(wait))));
         }
         if grant.prefetch_units > 0 && until > now {
             self.granted.push_back((f64::from(grant.prefetch_units), until));
         }
-        // Those that came meanwhile may have what was granted ahead.
+        // Requests that arrived meanwhile may use the units granted in advance.
         while let Some((waiter, units)) = self.waiting.front().copied() {
             if !self.take(f64::from(units), now) {
                 break;
@@ -505,30 +533,39 @@
     }
 }
 
-fn is_gone(gone: &HashMap<BoxId, Gone>, id: BoxId, now: Moment) -> bool {
-    gone.get(&id).is_some_and(|gone| gone.until > now)
+fn is_in_backoff(backoffs: &HashMap<BoxId, Backoff>, id: BoxId, now: Moment) -> bool {
+    backoffs.get(&id).is_some_and(|backoff| backoff.until > now)
 }
 
 fn is_before(ranking: &[BoxId], first: BoxId, second: BoxId) -> bool {
-    let place = |id| ranking.iter().position(|other| *other == id).unwrap_or(usize::MAX);
-    place(first) < place(second)
+    let rank = |id| ranking.iter().position(|other| *other == id).unwrap_or(usize::MAX);
+    rank(first) < rank(second)
 }
 
-/// Returns the first box of a ranking that is not known to be gone.
-fn first_up(gone: &HashMap<BoxId, Gone>, ranking: &[BoxId], me: BoxId, now: Moment) -> BoxId {
-    let mut up = ranking.iter().filter(|id| !is_gone(gone, **id, now));
+/// Returns the first box of the ranking that is not in backoff.
+fn first_available(
+    backoffs: &HashMap<BoxId, Backoff>,
+    ranking: &[BoxId],
+    me: BoxId,
+    now: Moment,
+) -> BoxId {
+    let mut up = ranking.iter().filter(|id| !is_in_backoff(backoffs, **id, now));
     up.next().copied().unwrap_or(me)
 }
 
-/// Returns the boxes to ask who could be the keeper: those before this box, and before `keeper` if there is
-/// one, that are not known to be gone.
+/// Returns the candidates for coordinator to probe: boxes not in backoff that rank before this box, and before the
+/// current coordinator if there is one.
 fn candidates(
-    gone: &HashMap<BoxId, Gone>,
+    backoffs: &HashMap<BoxId, Backoff>,
     ranking: &[BoxId],
     me: BoxId,
-    keeper: Option<BoxId>,
+    coordinator: Option<BoxId>,
     now: Moment,
 ) -> Vec<BoxId> {
-    let before = ranking.iter().take_while(|id| **id != me && Some(**id) != keeper);
-    before.filter(|id| !is_gone(gone, **id, now)).take(PROBED).copied().collect()
+    let before = ranking.iter().take_while(|id| **id != me && Some(**id) != coordinator);
+    before
+        .filter(|id| !is_in_backoff(backoffs, **id, now))
+        .take(MAX_PROBED_BOXES)
+        .copied()
+        .collect()
 }
