--- a/trackfront_core/src/ports/knowledge.rs
+++ b/trackfront_core/src/ports/knowledge.rs
@@ -49,14 +49,14 @@
 pub enum OperatorUpdate {
     /// A configuration.
     Config(StoredConfig),
-    /// A hall whose servers are to receive no requests, or are used again.
+    /// A hall that was evacuated, whose servers get no requests, or returned to use.
     Hall(HallStatus),
 }
 
 /// Reads the configuration and the list of servers.
 #[async_trait]
 pub trait Knowledge: Send + Sync {
-    /// Reads the configuration, if one is stored, and the drained halls.
+    /// Reads the configuration, if one is stored, and the evacuated halls.
     async fn read_operator(&self) -> Result<Listing<OperatorUpdate>, TableError>;
 
     /// Waits at most `wait` for operator changes after `version`.
--- a/trackfront_core/src/quota/share.rs
+++ b/trackfront_core/src/quota/share.rs
@@ -1,9 +1,9 @@
 //! The requesting side: the coordinator that a box lends its quota of one partition to, and the units granted to it.
 //!
 //! A box that gives up an unresponsive coordinator lends its quota to the next at once, although the old one may count
-//! the loan for another second ([`LOAN_DURATION`](super::pool::LOAN_DURATION)). Waiting for that second was tried: with
-//! links that flap every 0.4 to 3 s it lowers the largest window from 0.89 to 0.84 of its bound, but refuses up to 14%
-//! of the requests that could pass (`tests/quota`, 30 boxes split into two and three parts).
+//! the loan for another second ([`LOAN_DURATION`](super::pool::LOAN_DURATION)). If it waited for
+//! that second, links that flap every 0.4 to 3 s would lower the largest window from 0.89 to 0.84 of its bound, but up
+//! to 14% of the requests that could pass would be refused (`tests/quota`, 30 boxes split into two and three parts).
 //!
 //! Nothing here does I/O or blocks. [`QuotaShare::poll`] returns the requests to send, and [`QuotaShare::take`] whether
 //! a request may pass. `poll` and [`QuotaShare::apply_reply`] return the waits that ended.
--- a/trackfront_core/src/serving/choice.rs
+++ b/trackfront_core/src/serving/choice.rs
@@ -51,14 +51,14 @@
     pub info: &'a RequestInfo,
     /// The prefixes of its prompt.
     pub prefixes: &'a [Prefix],
-    /// The rank of its route.
+    /// The rank of the request: that of its account, or else of its route.
     pub rank: u8,
     /// Servers that already got the request.
     pub tried: &'a [BackendId],
     /// The hall of this box.
     pub hall: &'a HallName,
     /// The halls and regions where the request may be served.
-    pub places: AllowedHalls<'a>,
+    pub allowed_halls: AllowedHalls<'a>,
     /// How long a server that drains may still get requests that no other can answer, from the moment at
     /// which this box learned of it.
     pub drain_grace: Duration,
@@ -184,7 +184,7 @@
         if loads.is_replaced(id) || !accepts_requests(server, leaving, query) {
             continue;
         }
-        if !query.places.allow(&server.entry.hall) {
+        if !query.allowed_halls.allow(&server.entry.hall) {
             reason = closer_reason(reason, NoChoice::NotAllowed);
             continue;
         }
--- a/trackfront_core/src/serving/crashes/mod.rs
+++ b/trackfront_core/src/serving/crashes/mod.rs
@@ -44,9 +44,11 @@
 /// many servers at once, and a request that all clients send ran on each of them.
 const TOGETHER_WITHIN: Duration = Duration::from_millis(250);
 
-/// The delay after such crashes before one box alone tries the request again, and the most trials. A cause may still
-/// reach three servers by then, and trials count among them.
+/// The delay after such crashes before one box alone tries the request again.
 const TRIAL_DELAY: Duration = Duration::from_millis(2_000);
+
+/// The most trials of a request after such crashes. A cause may still reach three servers by then, and trials count
+/// among them.
 const MAX_TRIALS: u32 = 2;
 
 /// How long crashes count of a request that is not quarantined.
--- a/trackfront_core/src/serving/load.rs
+++ b/trackfront_core/src/serving/load.rs
@@ -27,8 +27,8 @@
 /// The bounds of a pace, as a factor on the usual time.
 const PACE_BOUNDS: (f64, f64) = (0.2, 10.0);
 
-/// The prefill time of one token before any measurement: ten tokens in a millisecond, a round figure
-/// that the first measurements replace.
+/// The prefill time of one token until the first measurements replace it: ten tokens in a
+/// millisecond.
 const DEFAULT_PREFILL_MS_PER_TOKEN: f64 = 0.1;
 
 /// The bounds of a measured prefill time of one token.
--- a/trackfront_core/src/serving/planner/mod.rs
+++ b/trackfront_core/src/serving/planner/mod.rs
@@ -7,8 +7,8 @@
 //! A box with a tenth of a core computes a plan several times per second, so the state that the
 //! planner reads repeatedly is indexed once per plan (see `inventory`). With demand for every
 //! model, a plan for 240 engines and 444 models takes 3 ms of a full core instead of 1,150 ms, and
-//! one for 1,300 engines and 850 models takes 25 ms instead of 9,000 ms. The plans equal those of
-//! an earlier planner without the index, compared on 3,000 random states.
+//! one for 1,300 engines and 850 models takes 25 ms instead of 9,000 ms. The index changes no
+//! plan: 3,000 random states lead to the same plans with and without it.
 
 mod adapters;
 mod inventory;
--- a/trackfront_core/src/serving/request.rs
+++ b/trackfront_core/src/serving/request.rs
@@ -121,7 +121,7 @@
         /// How long to wait before a retry.
         retry_after: Duration,
     },
-    /// No server can answer now.
+    /// No server can answer now. The request has not run.
     #[error("no server can answer now: {cause}; the request has not run, come back later")]
     NoServer {
         /// Why the servers cannot answer.
--- a/trackfront_core/tests/serving/choice.rs
+++ b/trackfront_core/tests/serving/choice.rs
@@ -96,7 +96,7 @@
             rank: 1,
             tried: &self.tried,
             hall: &"a".into(),
-            places: AllowedHalls {
+            allowed_halls: AllowedHalls {
                 evacuations: &self.evacuations,
                 regions: &self.regions,
                 bounds: [self.bounds[0].as_ref(), self.bounds[1].as_ref()],
--- a/trackfront_core/tests/serving/crashes_random.rs
+++ b/trackfront_core/tests/serving/crashes_random.rs
@@ -18,7 +18,7 @@
 /// Requests up to this one crash servers; the others run beside them and are answered at times.
 const CAUSES: u64 = 2;
 
-/// The time of a step. The whole simulation is longer than anything is kept.
+/// The simulated time of a step. All steps together take longer than any record is kept.
 const STEP_MS: u64 = 20;
 
 /// The most reports in transit.
--- a/trackfrontd/src/serving/config_freshness.rs
+++ b/trackfrontd/src/serving/config_freshness.rs
@@ -40,7 +40,7 @@
 
 /// The row in force at a box, and when it was last confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ConfirmedRow {
+pub struct RowConfirmation {
     /// The row in force.
     pub row: u64,
     /// The time since the row was last confirmed to be the newest, in milliseconds.
@@ -91,16 +91,16 @@
     }
 
     /// Returns the row in force and its age at `now`, or `None` if it was never confirmed.
-    pub fn confirmed_row(&self, now: Moment) -> Option<ConfirmedRow> {
+    pub fn confirmed_row(&self, now: Moment) -> Option<RowConfirmation> {
         let freshness = self.freshness.lock();
         let age = freshness.age(now)?;
         // Rounded up, since too small an age would prolong the use of a removed key.
         let age_ms = u32::try_from(age.as_millis() + 1).unwrap_or(u32::MAX);
-        Some(ConfirmedRow { row: freshness.row_in_force(), age_ms })
+        Some(RowConfirmation { row: freshness.row_in_force(), age_ms })
     }
 
     /// Merges the confirmation of another box that was asked for it at `requested_at`.
-    pub fn merge_report(&self, report: ConfirmedRow, requested_at: Moment) {
+    pub fn merge_report(&self, report: RowConfirmation, requested_at: Moment) {
         let age = Duration::from_millis(u64::from(report.age_ms));
         self.freshness.lock().apply_peer_answer(report.row, age, requested_at);
     }
@@ -256,7 +256,8 @@
     ip: Ipv4Addr,
     request: ConfigVersionRequest,
 ) {
-    let Some(ConfirmedRow { row, age_ms }) = node.config_freshness.confirmed_row(node.now()) else {
+    let Some(RowConfirmation { row, age_ms }) = node.config_freshness.confirmed_row(node.now())
+    else {
         return;
     };
     let reply = ConfigVersionReply { number: request.number, row, age_ms };
@@ -274,7 +275,7 @@
     let Some(sent_at) = sent_at else {
         return;
     };
-    let report = ConfirmedRow { row: reply.row, age_ms: reply.age_ms };
+    let report = RowConfirmation { row: reply.row, age_ms: reply.age_ms };
     node.config_freshness.merge_report(report, sent_at);
     if reply.row > node.config_row() {
         node.feed_state.lock().record_config_row(reply.row, Some(ip));
--- a/trackfrontd/src/serving/crashes/outbox.rs
+++ b/trackfrontd/src/serving/crashes/outbox.rs
@@ -22,14 +22,16 @@
 use crate::serving::node::{ServingNode, short_server};
 use crate::serving::peer_socket::PeerSocket;
 
-/// How often each report is sent, and at which interval. Among boxes that lose a fifth of their
-/// datagrams, one in 600 misses all four sends. The last send comes 1.2 s after the first, and
-/// boxes have at least 3 s to learn of a crash.
+/// How many times each report is sent. Among boxes that lose a fifth of their datagrams, one in 600
+/// misses all four sends.
 const SEND_ATTEMPTS: u32 = 4;
+
+/// The interval between the sends of a report. The last one comes 1.2 s after the first, and boxes
+/// have at least 3 s to learn of a crash.
 const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
 /// The maximum random delay before a box reports that a request's crashes no longer count; most
-/// boxes hear it from another one first.
+/// boxes receive it from another one first.
 const MAX_CLEARANCE_DELAY: Duration = Duration::from_millis(200);
 
 /// How long reports are collected before they are sent, so that servers that end together are
@@ -39,8 +41,10 @@
 /// How long the end of a server isn't reported again after this or another box did so.
 const ENDED_REPEAT_GAP: Duration = Duration::from_millis(1_500);
 
-/// The number of entries in one message; a report has 40 bytes on average.
+/// The most reports in one message; a report has 40 bytes on average.
 const REPORTS_PER_MESSAGE: usize = 64;
+
+/// The most ended servers in one message.
 const ENDED_PER_MESSAGE: usize = 256;
 
 /// A report that is sent several times.
--- a/trackfrontd/src/serving/delegates.rs
+++ b/trackfrontd/src/serving/delegates.rs
@@ -151,7 +151,7 @@
         self.first_present(hall, count, is_missing)
     }
 
-    /// Returns the boxes that speak for a hall to other halls: its first ones that are not missing.
+    /// Returns the boxes that exchange digests with other halls: the first ones that are not missing.
     pub fn delegates(
         &self,
         hall: u32,
--- a/trackfrontd/src/serving/exchange.rs
+++ b/trackfrontd/src/serving/exchange.rs
@@ -32,7 +32,7 @@
 use trackfront_core::serving::halls::HallStatus;
 use trackfront_core::units::Moment;
 
-use super::config_freshness::ConfirmedRow;
+use super::config_freshness::RowConfirmation;
 use super::crashes;
 use super::delegates::ListedBox;
 use super::follow;
@@ -170,7 +170,7 @@
 
 /// Adds the header that says when the row in force was last confirmed to be the newest.
 fn with_confirmed_row(node: &ServingNode, mut response: Response<Body>) -> Response<Body> {
-    if let Some(ConfirmedRow { row, age_ms }) = node.config_freshness.confirmed_row(node.now()) {
+    if let Some(RowConfirmation { row, age_ms }) = node.config_freshness.confirmed_row(node.now()) {
         let value = format!("{row} {age_ms}");
         let value = HeaderValue::from_str(&value).expect("digits are valid in a header");
         response.headers_mut().insert(NEWEST_ROW, value);
@@ -179,9 +179,9 @@
 }
 
 /// Parses the header of [`with_confirmed_row`]. Boxes of the previous version do not send it.
-fn parse_confirmed_row(headers: &HeaderMap) -> Option<ConfirmedRow> {
+fn parse_confirmed_row(headers: &HeaderMap) -> Option<RowConfirmation> {
     let (row, age_ms) = headers.get(NEWEST_ROW)?.to_str().ok()?.split_once(' ')?;
-    Some(ConfirmedRow { row: row.parse().ok()?, age_ms: age_ms.parse().ok()? })
+    Some(RowConfirmation { row: row.parse().ok()?, age_ms: age_ms.parse().ok()? })
 }
 
 fn snapshot_response(packed: Option<Bytes>) -> Response<Body> {
@@ -291,7 +291,7 @@
 struct Fetched<T> {
     snapshot: T,
     /// The row in force at that box, if it sent one.
-    confirmed_row: Option<ConfirmedRow>,
+    confirmed_row: Option<RowConfirmation>,
 }
 
 async fn fetch_first<T: DeserializeOwned>(
--- a/trackfrontd/src/serving/gossip.rs
+++ b/trackfrontd/src/serving/gossip.rs
@@ -204,15 +204,17 @@
             Ok((Message::ConfigVersionReply(reply), _)) => {
                 config_freshness::handle_reply(&node, ip, reply)
             }
-            Ok((Message::QuotaRequest(ask), _)) => quota::answer(&node, &socket, ip, &ask),
-            Ok((Message::QuotaReply(answer), _)) => quota::handle_answer(&node, ip, &answer),
+            Ok((Message::QuotaRequest(request), _)) => {
+                quota::handle_request(&node, &socket, ip, &request)
+            }
+            Ok((Message::QuotaReply(reply), _)) => quota::handle_reply(&node, ip, &reply),
             Ok((Message::CrashReports(reports), _)) => crashes::merge_reports(&node, ip, &reports),
             Ok((Message::ServersEnded(servers), _)) => crashes::merge_ended(&node, &servers),
             Ok((Message::Notices(batch), _)) => {
                 notices::handle_batch(&node, &socket, ip, batch).await
             }
             Ok((Message::PermitRequest(request), _)) => {
-                permits::answer(&node, &socket, ip, &request)
+                permits::handle_request(&node, &socket, ip, &request)
             }
             Ok((Message::PermitReply(reply), _)) => permits::handle_reply(&node, reply),
             Err(error) => {
--- a/trackfrontd/src/serving/order_task.rs
+++ b/trackfrontd/src/serving/order_task.rs
@@ -42,7 +42,7 @@
 /// request.
 const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(50);
 
-/// How long an engine gets no orders after one that failed.
+/// How long an engine gets no orders after a failed order.
 const REST_AFTER_FAULT: Duration = Duration::from_millis(700);
 
 /// The interval of polls for a model's load or unload; an engine's reports are some tenths of a
--- a/trackfrontd/src/serving/peer_tracker.rs
+++ b/trackfrontd/src/serving/peer_tracker.rs
@@ -278,7 +278,7 @@
         delegates.choose(rng).copied()
     }
 
-    /// Returns whether this box speaks for its hall to other halls.
+    /// Returns whether this box exchanges digests with other halls on behalf of its hall.
     fn is_delegate(&self) -> bool {
         self.delegates(self.me.hall).contains(&self.me.ip)
     }
@@ -365,7 +365,7 @@
     }
 
     /// Returns whether this box forwards overlay entries from `ip` to its hall, as the hall's first
-    /// delegate.
+    /// delegate. The sender thus need not send them to every box.
     pub fn forwards_from(&self, ip: Ipv4Addr) -> bool {
         let sender_hall = self.peers.get(&ip).map(|peer| peer.listing.hall);
         let is_first = self.delegates(self.me.hall).first() == Some(&self.me.ip);
--- a/trackfrontd/src/serving/permits.rs
+++ b/trackfrontd/src/serving/permits.rs
@@ -22,7 +22,7 @@
 use super::peer_socket::PeerSocket;
 use super::quota::box_id;
 
-/// The timeout for a coordinator's reply. A box that used up its share of a processor stands still
+/// The timeout for a coordinator's reply. A box that used up its share of a processor is paused
 /// for up to a tenth of a second.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(120);
 
@@ -169,21 +169,22 @@
 }
 
 /// Answers another box's request, unless this box doesn't know all boxes yet.
-pub fn answer(node: &ServingNode, socket: &PeerSocket, from: Ipv4Addr, request: &PermitRequest) {
+pub fn handle_request(
+    node: &ServingNode,
+    socket: &PeerSocket,
+    from: Ipv4Addr,
+    request: &PermitRequest,
+) {
     if !node.are_boxes_listed() || !request.per_s.is_finite() {
         return;
     }
-    let (is_given, wait) = match issue(node, request) {
+    let (is_granted, wait) = match issue(node, request) {
         PermitAnswer::GrantedIn(wait) => (true, wait),
         PermitAnswer::NotBefore(wait) => (false, wait),
     };
     let wait_ms = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
     socket.send_now(
-        &Message::PermitReply(PermitReply {
-            number: request.number,
-            is_granted: is_given,
-            wait_ms,
-        }),
+        &Message::PermitReply(PermitReply { number: request.number, is_granted, wait_ms }),
         from,
     );
 }
--- a/trackfrontd/src/serving/pipeline/choice.rs
+++ b/trackfrontd/src/serving/pipeline/choice.rs
@@ -38,7 +38,7 @@
             rank: self.rank,
             tried,
             hall: &settings.node.hall,
-            places: self.places(&evacuations, &settings),
+            allowed_halls: self.allowed_halls(&evacuations, &settings),
             drain_grace: node.drain_grace(),
             drain_end: node.drain_end(),
             now: node.now(),
@@ -71,7 +71,7 @@
                 let id = &known.entry.id;
                 known.is_ready()
                     && notices.leaving_since(id).is_none()
-                    && query.places.allow(&known.entry.hall)
+                    && query.allowed_halls.allow(&known.entry.hall)
                     && !tried.contains(id)
                     && !loads.is_paused(id, query.now)
             };
@@ -101,7 +101,7 @@
     }
 
     /// Returns the halls and regions in which the request may be served.
-    fn places<'a>(
+    fn allowed_halls<'a>(
         &'a self,
         evacuations: &'a Evacuations,
         settings: &'a ServingSettings,
--- a/trackfrontd/src/serving/quota.rs
+++ b/trackfrontd/src/serving/quota.rs
@@ -64,13 +64,13 @@
 }
 
 /// Answers the quota request of another box.
-pub fn answer(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, ask: &QuotaRequest) {
+pub fn handle_request(node: &ServingNode, socket: &PeerSocket, ip: Ipv4Addr, ask: &QuotaRequest) {
     if let Some(answer) = node.quotas.answer(box_id(ip), ask, node.now()) {
         socket.send_now(&Message::QuotaReply(answer), ip);
     }
 }
 
 /// Handles another box's answer to a quota request.
-pub fn handle_answer(node: &ServingNode, ip: Ipv4Addr, answer: &QuotaReply) {
+pub fn handle_reply(node: &ServingNode, ip: Ipv4Addr, answer: &QuotaReply) {
     node.quotas.take_in(box_id(ip), answer, node.now());
 }
--- a/trackfrontd/tests/peer_socket.rs
+++ b/trackfrontd/tests/peer_socket.rs
@@ -23,7 +23,7 @@
 /// The rate of the link: 1.25 MB/s.
 const LINK_MBPS: f64 = 10.0;
 
-/// The capacity of a link's queue, measured at a box that lost all further datagrams.
+/// The capacity of a link's queue; datagrams beyond it are dropped.
 const QUEUE_BYTES: f64 = 127_000.0;
 
 /// A message of about 10 KB, the size of uncompressed server changes.
